--- a/bench/campaign.py
+++ b/bench/campaign.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from poplarrelay.client import AnswerNotRun, CallerFailure
+from poplarrelay.client import AnswerNotRun, ClientError
 from poplarrelay.standins.service import call_name
 from poplarrelay.testing.builders import small_site
 from poplarrelay.testing.processes import RunningSite, run_site
@@ -79,7 +79,7 @@
     started = time.monotonic()
     try:
         key = f"seat-{number}" if scheme is Scheme.PLAIN else client.new_ticket()[1]
-    except CallerFailure:
+    except ClientError:
         tally.add(name, "not_run", 0.0)
         return
     callers = 3 if rng.random() < TRIPLED else 1
@@ -100,7 +100,7 @@
             word = "answered"
         except AnswerNotRun as failure:
             word = "not_run" if failure.problem else "not_reached"
-        except CallerFailure:
+        except ClientError:
             word = "unknown"
         tally.add(name, word, time.monotonic() - started)
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -145,7 +145,7 @@
                 for number in range(int(rate * window)):
                     time.sleep(max(0.0, began + number / rate - time.monotonic()))
                     path = "/services/booking/seats"
-                    site.caller.call("GET", address, path, headers=headers)
+                    site.http_client.call("GET", address, path, headers=headers)
                 time.sleep(max(0.0, began + window - time.monotonic()))
 
             return run
--- a/bench/deferred_campaign.py
+++ b/bench/deferred_campaign.py
@@ -23,7 +23,7 @@
 from poplarrelay.testing.builders import small_site
 from poplarrelay.testing.processes import RunningSite, run_site, wait_until
 from poplarrelay.testing.site import team_token
-from poplarrelay.testing.steps import QUICK
+from poplarrelay.testing.steps import SHORT_TIMEOUTS
 
 NODES = 5
 CALLERS = 4
@@ -79,7 +79,7 @@
         }
         value = {"url": "/v1/completions", "body": body}
         try:
-            reply = self.site.caller.call(
+            reply = self.site.http_client.call(
                 "POST", self._address(node), "/v1/requests", value, 8.0, HEADERS
             )
         except CallFailed:
@@ -94,7 +94,7 @@
         """Return a node's word, None if it gives none."""
         path = f"/v1/requests/{deferral.id}"
         try:
-            reply = self.site.caller.call(
+            reply = self.site.http_client.call(
                 "GET", self._address(node), path, None, 8.0, HEADERS
             )
         except CallFailed:
@@ -212,7 +212,7 @@
     """Play the seeds and return the exit code."""
     first, last = int(sys.argv[1]), int(sys.argv[2])
     broken = 0
-    with run_site(small_site(nodes=NODES, engines=4), settings=QUICK) as site:
+    with run_site(small_site(nodes=NODES, engines=4), settings=SHORT_TIMEOUTS) as site:
         for seed in range(first, last + 1):
             broken += bool(play(site, seed).violations)
     print(f"{broken} of {last - first + 1} rounds broken")
--- a/bench/deferred_safeguards.py
+++ b/bench/deferred_safeguards.py
@@ -24,39 +24,39 @@
 SAFEGUARDS = (
     _safeguard(
         "an outcome is told once a peer has it",
-        "copying.py",
-        "    return request.outcome if copy is not None and copy.told else None\n",
+        "request_copies.py",
+        "    return request.outcome if copy is not None and copy.published else None\n",
         "    return request.outcome\n",
     ),
     _safeguard(
         "the outcome's copy is waited for",
-        "copying.py",
+        "request_copies.py",
         "    ended = copy.ended if copied else request.state is RequestState.ENDED\n",
         "    ended = request.state is RequestState.ENDED\n",
     ),
     _safeguard(
         "peers that failed are left out",
-        "copying.py",
+        "request_copies.py",
         "        copy.failed.add(copy.holder)\n",
         "        copy.failed.clear()\n",
     ),
     _safeguard(
         "a ready outcome is told without any peer",
-        "copying.py",
+        "request_copies.py",
         "    if len(copy.failed) >= MAX_TRIES:\n",
         "    if False:\n",
     ),
     _safeguard(
         "a leaving node has requests copied",
-        "copying.py",
+        "request_copies.py",
         "    if world.phase not in _PHASES:\n",
         "    if world.phase is not NodePhase.SERVING:\n",
     ),
     _safeguard(
         "a home that was taken for dead asks its holder",
         "gossiping.py",
-        "            copy.doubtful = True\n",
-        "            copy.doubtful = False\n",
+        "            copy.maybe_taken_over = True\n",
+        "            copy.maybe_taken_over = False\n",
     ),
     _safeguard(
         "peers are asked before a takeover",
@@ -67,7 +67,7 @@
     _safeguard(
         "the newest copy goes first",
         "takeover.py",
-        "    return mine > (standing.copies, node)\n",
+        "    return mine > (status.copies, node)\n",
         "    return True\n",
     ),
     _safeguard(
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -11,7 +11,7 @@
 import urllib3
 
 from bench.measuring import percentile
-from poplarrelay.client import CallerFailure
+from poplarrelay.client import ClientError
 from poplarrelay.testing.builders import small_site
 from poplarrelay.testing.processes import RunningSite, run_site
 
@@ -51,7 +51,7 @@
             try:
                 client.complete("small", f"flood {number}", 60, timeout_s=4.0)
                 self.answered += 1
-            except CallerFailure:
+            except ClientError:
                 self.refused += 1
 
 
@@ -68,7 +68,7 @@
                 "small", f"beta {number}", TOKENS, 10.0, "standard"
             )
             first.append(result.first_token_s or 0.0)
-        except CallerFailure:
+        except ClientError:
             failed[0] += 1
 
     threads = []
--- a/bench/membership_at_size.py
+++ b/bench/membership_at_size.py
@@ -16,7 +16,7 @@
 import orjson
 from cyclopts import App
 
-from poplarrelay.entry.rows import NodeState
+from poplarrelay.entry.peer_rows import NodeState
 from poplarrelay.identifiers import TeamId
 from poplarrelay.testing.network import USE_PER_S, Network
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from poplarrelay.replay.generate import Day, generate_trace
-from poplarrelay.replay.judge import judge_replay
+from poplarrelay.replay.judge import evaluate_replay
 from poplarrelay.replay.runner import run_replay
 from poplarrelay.replay.target import ReplayTarget
 from poplarrelay.settings import RoutingPolicy
@@ -48,7 +48,7 @@
     settings = {"limits": {"routing_policy": policy.value}}
     with run_site(site, settings=settings) as running:
         target = ReplayTarget.model_validate(running.replay_target())
-        judged = judge_replay(run_replay(trace, target))
+        judged = evaluate_replay(run_replay(trace, target))
         computed = [
             running.get(process.address, "/statistics")
             for name, process in running.endpoints.items()
--- a/bench/reclaims.py
+++ b/bench/reclaims.py
@@ -14,7 +14,7 @@
 import time
 
 from bench.measuring import percentile
-from poplarrelay.client import CallerFailure, CompletionResult
+from poplarrelay.client import ClientError, CompletionResult
 from poplarrelay.settings import MovePolicy
 from poplarrelay.standins.batching import token_text
 from poplarrelay.testing.builders import small_site
@@ -50,7 +50,7 @@
                 if len(self._result.tokens) > 1:
                     self.longest_gap_s = max(self.longest_gap_s, now - last)
                 last = now
-        except CallerFailure:
+        except ClientError:
             return
         self.seconds = time.monotonic() - began
         wanted = [token_text(self._prompt, index) for index in range(self._count)]
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -23,8 +23,8 @@
     attempting,
     claiming,
     expiring,
-    homes,
-    keying,
+    key_ownership,
+    key_resolution,
     ticketing,
 )
 from poplarrelay.systems.tests import test_safeguards
@@ -47,13 +47,13 @@
     """Run plain keys at once."""
 
     def settle(world, request, form, now):
-        key = world.keyed(request)
-        world.uses[key] = claiming.KeyUse(
+        key = world.team_key(request)
+        world.key_executions[key] = claiming.KeyExecution(
             KeyState.OPEN, request.id, request.work.fingerprint, now
         )
         yield from ()
 
-    _patch(stack, keying, "settle_plain_key", settle)
+    _patch(stack, key_resolution, "resolve_caller_key", settle)
 
 
 def without_compare(stack: ExitStack) -> None:
@@ -69,18 +69,18 @@
 
 def without_incarnation(stack: ExitStack) -> None:
     """Ask a restarted process about its predecessor's keys."""
-    _patch(stack, claiming, "home_of", lambda world, node, _: world.members.get(node))
-    original = homes.key_reply
-
-    def reply(world, question, now):
-        if question.incarnation:
-            question = question.model_copy(update={"incarnation": world.incarnation})
-        answer = original(world, question, now)
-        if answer.state == "absent" and question.incarnation:
+    _patch(stack, claiming, "owner_of", lambda world, node, _: world.members.get(node))
+    original = key_ownership.key_reply
+
+    def reply(world, query, now):
+        if query.incarnation:
+            query = query.model_copy(update={"incarnation": world.incarnation})
+        answer = original(world, query, now)
+        if answer.state == "absent" and query.incarnation:
             return answer.model_copy(update={"state": "released"})
         return answer
 
-    _patch(stack, homes, "key_reply", reply)
+    _patch(stack, key_ownership, "key_reply", reply)
 
 
 def without_release_age(stack: ExitStack) -> None:
@@ -100,7 +100,7 @@
 def without_catching_up(stack: ExitStack) -> None:
     """Vouch for keys before the claims have been read to their end."""
     original = claiming._verify
-    original_reply = homes.key_reply
+    original_reply = key_ownership.key_reply
 
     def caught_up(world):
         world.streams[claiming.CLAIMS].caught_up = True
@@ -109,12 +109,12 @@
         caught_up(world)
         yield from original(world, request, now)
 
-    def reply(world, question, now):
+    def reply(world, query, now):
         caught_up(world)
-        return original_reply(world, question, now)
+        return original_reply(world, query, now)
 
     _patch(stack, claiming, "_verify", verify)
-    _patch(stack, homes, "key_reply", reply)
+    _patch(stack, key_ownership, "key_reply", reply)
 
 
 def without_running_mark(stack: ExitStack) -> None:
@@ -143,19 +143,19 @@
     def settle(world, request, ticket, forwarded, now):
         yield from ticketing._hold(world, request, now)
 
-    _patch(stack, keying, "settle_ticket", settle)
+    _patch(stack, key_resolution, "resolve_ticket", settle)
 
 
 def without_ticket_incarnation(stack: ExitStack) -> None:
     """Let a restarted process run its predecessor's tickets."""
-    original = ticketing.settle_ticket
+    original = ticketing.resolve_ticket
 
     def settle(world, request, ticket, forwarded, now):
         if ticket.node == world.node:
             ticket = replace(ticket, incarnation=world.incarnation, epoch=0)
         yield from original(world, request, ticket, forwarded, now)
 
-    _patch(stack, keying, "settle_ticket", settle)
+    _patch(stack, key_resolution, "resolve_ticket", settle)
 
 
 def without_giving_up_tickets(stack: ExitStack) -> None:
@@ -165,10 +165,10 @@
         yield from ticketing._hold(world, request, now)
 
     _patch(stack, ticketing, "_settle_own", settle)
-    _patch(stack, keying, "_leave_alone", keying_leave_alone)
+    _patch(stack, key_resolution, "_leave_alone", leave_alone)
 
 
-def keying_leave_alone(world, request, form, now):
+def leave_alone(world, request, form, now):
     """Settle a request as if the node were not leaving."""
     yield from ticketing._hold(world, request, now)
 
@@ -177,8 +177,8 @@
     """Run a forwarded ticket although its key was told "not run" meanwhile."""
 
     def hold(world, request, now):
-        key = world.keyed(request)
-        world.uses[key] = claiming.KeyUse(
+        key = world.team_key(request)
+        world.key_executions[key] = claiming.KeyExecution(
             KeyState.OPEN, request.id, request.work.fingerprint, now
         )
         yield from ()
@@ -212,10 +212,10 @@
 def without_joining(stack: ExitStack) -> None:
     """Run a repeated request beside the one that runs already."""
 
-    def repeat(world, request, use, now):
+    def repeat(world, request, execution, now):
         yield from ()
 
-    _patch(stack, keying, "_repeat", repeat)
+    _patch(stack, key_resolution, "_repeat", repeat)
 
 
 REMOVALS: dict[str, Removal] = {
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -45,7 +45,7 @@
     result = client.complete(MODEL, CASE_FILE, 40)
     check(f"40 tokens, {result.usage}", result.tokens == whole(CASE_FILE, 40))
     step("2. The same, not streamed, with its prompt cached")
-    reply = site.caller.call(
+    reply = site.http_client.call(
         "POST",
         next(iter(site.nodes.values())).address,
         "/v1/completions",
--- a/examples/demo_platform.py
+++ b/examples/demo_platform.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from poplarrelay.standins.users.runner import Fault
-from poplarrelay.testing.users import CALLS, STREAMS, UsersSite, run_users_site
+from poplarrelay.testing.entry_site import CALLS, STREAMS, EntrySite, run_entry_site
 
 checks: list[bool] = []
 
@@ -30,7 +30,7 @@
     print(f"\n{text}", flush=True)
 
 
-async def show_streams(site: UsersSite) -> None:
+async def show_streams(site: EntrySite) -> None:
     """Show three kinds of streams."""
     for number, (name, path) in enumerate(
         (
@@ -47,7 +47,7 @@
         check(f"status {answer.status}, 40 events", answer.body == whole)
 
 
-async def show_calls(site: UsersSite) -> None:
+async def show_calls(site: EntrySite) -> None:
     """Show a booking and a reminder, both with a failing endpoint."""
     step("4. A seat booking whose endpoint breaks off: never sent twice")
     for runner in site.runners.values():
@@ -66,7 +66,7 @@
     check("all answered", [a.status for a in answers] == [200] * 4)
 
 
-async def show_reclaim(site: UsersSite) -> None:
+async def show_reclaim(site: EntrySite) -> None:
     """Show an endpoint that is taken away while it streams."""
     step("An endpoint is reclaimed under a live stream")
     connection = await site.open("/draft/reclaimed")
@@ -87,7 +87,7 @@
     )
 
 
-async def show_stop(site: UsersSite) -> None:
+async def show_stop(site: EntrySite) -> None:
     """Show a planned stop of a node."""
     step("A node is stopped in order under a live stream")
     connection = await site.open("/draft/last", node="b")
@@ -103,7 +103,7 @@
 async def play() -> None:
     """Run the demonstration."""
     with tempfile.TemporaryDirectory() as folder:
-        async with run_users_site(nodes=0) as site:
+        async with run_entry_site(nodes=0) as site:
             for name in ("engine-1", "engine-2"):
                 await site.add_runner(name, STREAMS, events=40, pause_s=0.02)
             for name in ("desk-1", "desk-2"):
--- a/poplarrelay/client/__init__.py
+++ b/poplarrelay/client/__init__.py
@@ -9,7 +9,7 @@
 from poplarrelay.client.failures import (
     AnswerNotRun,
     AnswerUnknown,
-    CallerFailure,
+    ClientError,
     RequestRefused,
 )
 
@@ -17,7 +17,7 @@
     "AnswerNotRun",
     "AnswerUnknown",
     "CallerClient",
-    "CallerFailure",
+    "ClientError",
     "CompletionResult",
     "DeferredResult",
     "RequestRefused",
--- a/poplarrelay/client/caller.py
+++ b/poplarrelay/client/caller.py
@@ -17,10 +17,10 @@
 from poplarrelay.client.failures import (
     AnswerNotRun,
     AnswerUnknown,
-    CallerFailure,
+    ClientError,
     RequestRefused,
 )
-from poplarrelay.providers.http import JsonCaller
+from poplarrelay.providers.http import JsonHttpClient
 
 __all__ = ["CallerClient", "CompletionResult", "DeferredResult", "ServiceResult"]
 
@@ -76,11 +76,11 @@
     document: dict[str, Any]
 
 
-class _Cut(CallerFailure):
+class _Cut(ClientError):
     """A stream ended without its end."""
 
 
-class _GoOn(CallerFailure):
+class _GoOn(ClientError):
     """A stream goes on at another address."""
 
     def __init__(self, address: str) -> None:
@@ -96,7 +96,7 @@
     return value if isinstance(value, dict) else {}
 
 
-def _failure(status: int, problem: dict[str, Any]) -> CallerFailure:
+def _failure(status: int, problem: dict[str, Any]) -> ClientError:
     title = str(problem.get("title", f"status {status}"))
     if 400 <= status < 500 and status != 429 and "retry_after_s" not in problem:
         return RequestRefused(title, problem)
@@ -128,7 +128,7 @@
     ) -> None:
         self._rng = random.Random(seed)
         self._discovery = Discovery(
-            known, token, JsonCaller(CONNECT_TIMEOUT_S), self._rng
+            known, token, JsonHttpClient(CONNECT_TIMEOUT_S), self._rng
         )
         self._headers = {
             "Authorization": f"Bearer {token}",
@@ -157,7 +157,7 @@
 
         Raises
         ------
-        CallerFailure
+        ClientError
             If there is no whole answer in time.
         """
         result = CompletionResult()
@@ -205,11 +205,11 @@
                 wanted = go_on.address
             except RequestRefused:
                 raise
-            except CallerFailure as failure:
+            except ClientError as failure:
                 self._discovery.avoid(address)
                 self._pause(failure, deadline)
 
-    def _pause(self, failure: CallerFailure, deadline: float) -> None:
+    def _pause(self, failure: ClientError, deadline: float) -> None:
         """Wait as told, or give up if that is past the deadline."""
         pause = failure.retry_after_s
         pause = DEFAULT_PAUSE_S if pause is None else min(MAX_PAUSE_S, pause)
@@ -343,7 +343,7 @@
 
         Raises
         ------
-        CallerFailure
+        ClientError
             If there is no answer in time.
         """
         deadline = time.monotonic() + timeout_s
@@ -473,6 +473,6 @@
                 raise _failure(response.status, document)
             except RequestRefused:
                 raise
-            except CallerFailure as failure:
+            except ClientError as failure:
                 self._discovery.avoid(address.address)
                 self._pause(failure, deadline)
--- a/poplarrelay/client/discovery.py
+++ b/poplarrelay/client/discovery.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from poplarrelay.client.failures import AnswerNotRun, RequestRefused
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 
 __all__ = ["Discovery", "NodeAddress"]
 
@@ -38,11 +38,15 @@
     """
 
     def __init__(
-        self, known: tuple[str, ...], token: str, caller: JsonCaller, rng: random.Random
+        self,
+        known: tuple[str, ...],
+        token: str,
+        http_client: JsonHttpClient,
+        rng: random.Random,
     ) -> None:
         self._known = known
         self._headers = {"Authorization": f"Bearer {token}"}
-        self._caller = caller
+        self._http_client = http_client
         self._rng = rng
         self._kept: tuple[NodeAddress, ...] = ()
         self._until = 0.0
@@ -80,7 +84,7 @@
         asked.sort(key=lambda address: self._avoided.get(address, 0.0) > now)
         for address in dict.fromkeys(asked):
             try:
-                reply = self._caller.call(
+                reply = self._http_client.call(
                     "GET",
                     address,
                     "/v1/addresses",
--- a/poplarrelay/client/failures.py
+++ b/poplarrelay/client/failures.py
@@ -6,10 +6,10 @@
 
 from poplarrelay.exception import PoplarrelayError
 
-__all__ = ["AnswerNotRun", "AnswerUnknown", "CallerFailure", "RequestRefused"]
+__all__ = ["AnswerNotRun", "AnswerUnknown", "ClientError", "RequestRefused"]
 
 
-class CallerFailure(PoplarrelayError):
+class ClientError(PoplarrelayError):
     """A call came to no answer.
 
     Parameters
@@ -28,13 +28,13 @@
         return self.problem.get("retry_after_s")
 
 
-class RequestRefused(CallerFailure):
+class RequestRefused(ClientError):
     """The request is not acceptable; it was not run."""
 
 
-class AnswerNotRun(CallerFailure):
+class AnswerNotRun(ClientError):
     """The request was certainly not run."""
 
 
-class AnswerUnknown(CallerFailure):
+class AnswerUnknown(ClientError):
     """The request may have run; ask again under the same key."""
--- a/poplarrelay/commands/call.py
+++ b/poplarrelay/commands/call.py
@@ -13,7 +13,7 @@
 from poplarrelay.client import (
     AnswerNotRun,
     CallerClient,
-    CallerFailure,
+    ClientError,
     CompletionResult,
     RequestRefused,
 )
@@ -39,7 +39,7 @@
     return CallerClient(tuple(address.split(",")), token)
 
 
-def _failed(failure: CallerFailure) -> None:
+def _failed(failure: ClientError) -> None:
     if isinstance(failure, RequestRefused):
         code, text = ExitCode.REFUSED, "refused"
     elif isinstance(failure, AnswerNotRun):
@@ -76,7 +76,7 @@
             if not json:
                 print(text, end="")
                 sys.stdout.flush()
-    except CallerFailure as failure:
+    except ClientError as failure:
         _failed(failure)
     print_json(asdict(result)) if json else print()
 
@@ -108,7 +108,7 @@
         result = _client(address).call_service(
             name, path, body.encode() or None, method, timeout_s, key
         )
-    except CallerFailure as failure:
+    except ClientError as failure:
         _failed(failure)
         return
     text = result.body.decode("utf-8", "replace")
@@ -133,7 +133,7 @@
         result = _client(address).defer(url, orjson.loads(body))
     except orjson.JSONDecodeError as error:
         fail(ExitCode.USAGE, f"the body is not JSON: {error}")
-    except CallerFailure as failure:
+    except ClientError as failure:
         _failed(failure)
         return
     print_json(result.document) if json else print(result.id)
@@ -155,7 +155,7 @@
     client = _client(address)
     try:
         found = client.wait_for(request, wait_s) if wait_s else client.fetch(request)
-    except CallerFailure as failure:
+    except ClientError as failure:
         _failed(failure)
         return
     print_json(found.document) if json else print(found.status)
--- a/poplarrelay/commands/operators.py
+++ b/poplarrelay/commands/operators.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from poplarrelay.commands.output import ExitCode, fail
-from poplarrelay.providers.http import CallFailed, JsonCaller, JsonReply
+from poplarrelay.providers.http import CallFailed, JsonHttpClient, JsonReply
 
 __all__ = ["Operator", "TOKEN_VARIABLE"]
 
@@ -32,9 +32,9 @@
         """Make a call, or end the process if the node does not answer."""
         token = os.environ.get(TOKEN_VARIABLE)
         headers = {} if token is None else {"Authorization": f"Bearer {token}"}
-        caller = JsonCaller(2.0)
+        http_client = JsonHttpClient(2.0)
         try:
-            reply = caller.call(
+            reply = http_client.call(
                 method, self.node, path, body, CALL_TIMEOUT_S, headers=headers
             )
         except CallFailed as error:
--- a/poplarrelay/commands/replay.py
+++ b/poplarrelay/commands/replay.py
@@ -11,12 +11,12 @@
 from poplarrelay.commands.output import ExitCode, fail, print_lines
 from poplarrelay.exception import SettingsError
 from poplarrelay.replay.generate import Day, generate_trace
-from poplarrelay.replay.judge import Judgement, judge_replay
+from poplarrelay.replay.judge import ReplayEvaluation, evaluate_replay
 from poplarrelay.replay.report import report_html, report_json
 from poplarrelay.replay.runner import run_replay
 from poplarrelay.replay.target import ReplayTarget
 from poplarrelay.replay.trace import read_trace, write_trace
-from poplarrelay.settings import load_model
+from poplarrelay.settings import load_json_file
 from poplarrelay.testing.site import Site
 
 __all__ = ["replay", "trace_app"]
@@ -31,23 +31,23 @@
         print(f"\r{done}/{total} requests", end="", file=sys.stderr, flush=True)
 
 
-def _lines(judgement: Judgement) -> list[str]:
-    lines = [f"{judgement.name}: {judgement.requests} requests"]
-    for name, figures in judgement.classes.items():
+def _lines(evaluation: ReplayEvaluation) -> list[str]:
+    lines = [f"{evaluation.name}: {evaluation.requests} requests"]
+    for name, figures in evaluation.classes.items():
         lines.append(
             f"{name}: {figures.in_time} of {figures.requests} in time, "
             f"first token median {figures.median_first_s} s, "
             f"95th {figures.p95_first_s} s"
         )
     lines.append(
-        f"doubled {judgement.doubled}, lost {judgement.lost}, fragments "
-        f"{judgement.fragments}, false not-run {judgement.false_not_run}"
+        f"doubled {evaluation.doubled}, lost {evaluation.lost}, fragments "
+        f"{evaluation.fragments}, false not-run {evaluation.false_not_run}"
     )
     lines.append(
-        f"recomputed tokens: {judgement.recomputed_moving} moving or resuming, "
-        f"{judgement.recomputed_missing_cache} missing a cache"
+        f"recomputed tokens: {evaluation.recomputed_moving} moving or resuming, "
+        f"{evaluation.recomputed_missing_cache} missing a cache"
     )
-    for broken in judgement.broken:
+    for broken in evaluation.broken:
         lines.append(
             f"BROKEN {broken.outcome}: stated {broken.stated}, found {broken.found}"
         )
@@ -77,19 +77,19 @@
     """
     try:
         read = read_trace(trace)
-        where = load_model(ReplayTarget, target)
+        where = load_json_file(ReplayTarget, target)
     except SettingsError as error:
         fail(ExitCode.CONFIGURATION, *(str(fault) for fault in error.faults))
     done = run_replay(read, where, scale, _show)
     print(file=sys.stderr)
-    judgement = judge_replay(done)
+    evaluation = evaluate_replay(done)
     if report is not None:
-        report.write_text(report_html(judgement, done))
+        report.write_text(report_html(evaluation, done))
     if json:
-        sys.stdout.buffer.write(report_json(judgement) + b"\n")
+        sys.stdout.buffer.write(report_json(evaluation) + b"\n")
     else:
-        print_lines(_lines(judgement))
-    raise SystemExit(int(ExitCode.OK if judgement.good else ExitCode.FAILED))
+        print_lines(_lines(evaluation))
+    raise SystemExit(int(ExitCode.OK if evaluation.good else ExitCode.FAILED))
 
 
 @trace_app.command
--- a/poplarrelay/configuration/resolve.py
+++ b/poplarrelay/configuration/resolve.py
@@ -6,7 +6,7 @@
 
 from poplarrelay.configuration.policy import ClassPolicy, ServicePolicy, TeamPolicy
 from poplarrelay.configuration.schema import ConfigurationFile, Deployment, Template
-from poplarrelay.exception import Fault, InvalidConfiguration
+from poplarrelay.exception import FieldError, InvalidConfiguration
 from poplarrelay.identifiers import DomainId, TeamId
 
 __all__ = ["check_file", "resolve_deployment"]
@@ -14,19 +14,19 @@
 
 def _outside(
     place: str, chosen: Iterable[str] | None, allowed: Iterable[str]
-) -> Iterator[Fault]:
+) -> Iterator[FieldError]:
     known = set(allowed)
     for name in chosen or ():
         if name not in known:
-            yield Fault(place, f"{name!r} is not in the template")
+            yield FieldError(place, f"{name!r} is not in the template")
 
 
-def _over(place: str, chosen: float | None, bound: float) -> Iterator[Fault]:
+def _over(place: str, chosen: float | None, bound: float) -> Iterator[FieldError]:
     if chosen is not None and chosen > bound:
-        yield Fault(place, f"{chosen} is over the template's {bound}")
+        yield FieldError(place, f"{chosen} is over the template's {bound}")
 
 
-def _faults(template: Template, deployment: Deployment) -> Iterator[Fault]:
+def _faults(template: Template, deployment: Deployment) -> Iterator[FieldError]:
     services = [service.name for service in template.services]
     yield from _outside("models", deployment.models, template.models)
     yield from _outside("services", deployment.services, services)
@@ -89,25 +89,27 @@
     )
 
 
-def check_file(file: ConfigurationFile) -> tuple[Fault, ...]:
+def check_file(file: ConfigurationFile) -> tuple[FieldError, ...]:
     """Return the faults between the parts of a configuration file.
 
     A deployment whose template is not in the file is left to the node that it is
     published to, since the template may be in force already.
     """
     templates = {template.name: template for template in file.templates}
-    faults: list[Fault] = []
+    faults: list[FieldError] = []
     for index, deployment in enumerate(file.deployments):
         template = templates.get(deployment.template)
         if template is None:
             continue
         for fault in _faults(template, deployment):
-            faults.append(Fault(f"deployments.{index}.{fault.place}", fault.problem))
+            faults.append(
+                FieldError(f"deployments.{index}.{fault.place}", fault.problem)
+            )
     owners: dict[str, str] = {}
     for index, deployment in enumerate(file.deployments):
         for digest in deployment.token_sha256:
             owner = owners.setdefault(digest, deployment.team)
             if owner != deployment.team:
                 place = f"deployments.{index}.token_sha256"
-                faults.append(Fault(place, f"a token of team {owner!r}"))
+                faults.append(FieldError(place, f"a token of team {owner!r}"))
     return tuple(faults)
--- a/poplarrelay/configuration/schema.py
+++ b/poplarrelay/configuration/schema.py
@@ -7,7 +7,7 @@
 
 from pydantic import Field
 
-from poplarrelay.settings import NAME_PATTERN, StrictModel, load_model
+from poplarrelay.settings import NAME_PATTERN, StrictModel, load_json_file
 from poplarrelay.tables.requests import RequestClass
 
 __all__ = [
@@ -144,4 +144,4 @@
         SettingsError
             With every fault of the file.
         """
-        return load_model(cls, path)
+        return load_json_file(cls, path)
--- a/poplarrelay/engines/http.py
+++ b/poplarrelay/engines/http.py
@@ -25,13 +25,13 @@
 )
 from poplarrelay.exception import EndpointBroken, EndpointRefused
 from poplarrelay.identifiers import AttemptId, EndpointId, TeamId
-from poplarrelay.messages.effects import GiveOrder
+from poplarrelay.messages.effects import SendModelOrder
 from poplarrelay.outcomes import ServiceAnswer
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 from poplarrelay.tables.endpoints import LoadReport
 from poplarrelay.tables.requests import Attempt, Work
 
-__all__ = ["HttpEngine", "HttpService", "give_order", "read_load"]
+__all__ = ["HttpEngine", "HttpService", "read_load", "send_model_order"]
 
 EVENT_END = b"\n\n"
 DATA = b"data: "
@@ -83,11 +83,14 @@
     """
 
     def __init__(
-        self, connect_timeout_s: float, progress_timeout_s: float, caller: JsonCaller
+        self,
+        connect_timeout_s: float,
+        progress_timeout_s: float,
+        http_client: JsonHttpClient,
     ) -> None:
         self._connect_timeout_s = connect_timeout_s
         self._progress_timeout_s = progress_timeout_s
-        self._caller = caller
+        self._http_client = http_client
         self._pool = urllib3.PoolManager(num_pools=256, maxsize=32, retries=False)
 
     def complete(
@@ -173,7 +176,7 @@
     def export_cache(self, attempt: Attempt) -> bool:
         """Ask the engine to stop an attempt and export its KV cache."""
         try:
-            reply = self._caller.call(
+            reply = self._http_client.call(
                 "POST", attempt.address, "/kv/export", {"attempt": attempt.id}
             )
         except CallFailed:
@@ -183,7 +186,7 @@
     def cancel(self, attempt: Attempt) -> None:
         """Ask the engine to stop an attempt; failures are of no matter."""
         try:
-            self._caller.call(
+            self._http_client.call(
                 "POST",
                 attempt.address,
                 "/v1/cancel",
@@ -264,7 +267,9 @@
         return ServiceAnswer(response.status, content_type, body)
 
 
-def read_load(endpoint: EndpointId, address: str, caller: JsonCaller) -> LoadAnswer:
+def read_load(
+    endpoint: EndpointId, address: str, http_client: JsonHttpClient
+) -> LoadAnswer:
     """Read an endpoint's load report.
 
     Raises
@@ -273,7 +278,7 @@
         If there was no answer that can be understood.
     """
     try:
-        reply = caller.call("GET", address, "/load")
+        reply = http_client.call("GET", address, "/load")
         if not reply.ok:
             raise EndpointBroken(f"status {reply.status}")
         value = reply.value
@@ -300,7 +305,9 @@
     )
 
 
-def give_order(order: GiveOrder, caller: JsonCaller, timeout_s: float) -> bool:
+def send_model_order(
+    order: SendModelOrder, http_client: JsonHttpClient, timeout_s: float
+) -> bool:
     """Give an order to an engine; return whether it was taken.
 
     Notes
@@ -308,7 +315,7 @@
     The lease's remaining term is compared right before the order is sent, since
     the process may have been paused after the tick thread decided.
     """
-    if time.monotonic() >= order.latest:
+    if time.monotonic() >= order.expires_at:
         return False
     body = {
         "fencing": order.fencing,
@@ -316,6 +323,6 @@
         "models": list(order.models),
     }
     try:
-        return caller.call("POST", order.address, "/orders", body, timeout_s).ok
+        return http_client.call("POST", order.address, "/orders", body, timeout_s).ok
     except CallFailed:
         return False
--- a/poplarrelay/entry/admission.py
+++ b/poplarrelay/entry/admission.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Prospect", "may_begin", "retry_after_line"]
+__all__ = ["FirstEventForecast", "retry_after_queue", "starts_in_time"]
 
 #: Part of its target for which a prompt may wait in line however long its own reading
 #: takes. Without it the longest prompts, which are late wherever they go, would never
@@ -16,34 +16,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prospect:
+class FirstEventForecast:
     """When a prompt's first event is due.
 
     Attributes
     ----------
     waited_s : float
         Seconds since the request arrived.
-    line_s : float
+    queue_s : float
         Seconds for which the engine reads other prompts before it.
-    reading_s : float
+    prefill_s : float
         Seconds for which it reads this one.
     target_s : float
         Time from its arrival within which its caller wants the first event.
     """
 
     waited_s: float
-    line_s: float
-    reading_s: float
+    queue_s: float
+    prefill_s: float
     target_s: float
 
     @property
-    def longest_line_s(self) -> float:
+    def max_queue_s(self) -> float:
         """Return the longest line in which it may stand."""
-        in_time_s = (1 + MARGIN) * self.target_s - self.waited_s - self.reading_s
+        in_time_s = (1 + MARGIN) * self.target_s - self.waited_s - self.prefill_s
         return max(in_time_s, LEAST_LINE * self.target_s)
 
 
-def may_begin(prospect: Prospect) -> bool:
+def starts_in_time(forecast: FirstEventForecast) -> bool:
     """Return whether a prompt is sent where its first event is due first.
 
     Notes
@@ -54,9 +54,9 @@
     event would be late is refused, the others are in time, and its caller knows at
     once when to come back.
     """
-    return prospect.line_s <= prospect.longest_line_s
+    return forecast.queue_s <= forecast.max_queue_s
 
 
-def retry_after_line(prospect: Prospect) -> float:
+def retry_after_queue(forecast: FirstEventForecast) -> float:
     """Return the seconds after which a refused prompt would find its line short."""
-    return max(0.0, prospect.line_s - prospect.longest_line_s) + prospect.reading_s
+    return max(0.0, forecast.queue_s - forecast.max_queue_s) + forecast.prefill_s
--- a/poplarrelay/entry/attempts.py
+++ b/poplarrelay/entry/attempts.py
@@ -150,7 +150,7 @@
             self.on_limit(stated, self._sent_at)
         if head.status == 200 and not _closes(head):
             # An endpoint that leaves closes its connections with every answer.
-            self.plan.endpoint.vouched_at = self._sent_at
+            self.plan.endpoint.last_accepting_at = self._sent_at
         if head.status == 200 and _is_event_stream(head):
             return await self._pass_on(head)
         return await self._collect(head)
--- a/poplarrelay/entry/surveying.py
+++ b/poplarrelay/entry/backlog_client.py
@@ -18,7 +18,7 @@
 )
 from poplarrelay.identifiers import EndpointId, NodeId, RequestId
 
-__all__ = ["BacklogSurvey", "Carrier", "choose_keeper"]
+__all__ = ["BacklogClient", "Carrier", "choose_coordinator"]
 
 _LOG = logging.getLogger("poplarrelay.entry.survey")
 
@@ -34,7 +34,7 @@
 QUESTION, ANSWER, PLACED, TAKEN_OUT = "ask", "told", "placed", "out"
 
 
-def choose_keeper(endpoint: EndpointId, nodes: Mapping[NodeId, str]) -> NodeId:
+def choose_coordinator(endpoint: EndpointId, nodes: Mapping[NodeId, str]) -> NodeId:
     """Return the node that keeps count of an engine's prompts.
 
     Notes
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class BacklogSurvey:
+class BacklogClient:
     """Tells and asks which prompts are in line at engines.
 
     Attributes
@@ -90,21 +90,21 @@
     table: BacklogTable = field(default_factory=BacklogTable)
     _number: int = 0
     _questions: dict[int, _Question] = field(default_factory=dict)
-    _keepers: dict[EndpointId, str] = field(default_factory=dict)
+    _coordinators: dict[EndpointId, str] = field(default_factory=dict)
     _silent_until: dict[str, float] = field(default_factory=dict)
 
     def refresh(self, known: Sequence[EndpointId]) -> None:
         """Take changes of nodes and endpoints into account."""
-        self._keepers.clear()
+        self._coordinators.clear()
         self.table.forget(known, self.monotonic())
 
-    def _keeper(self, endpoint: EndpointId) -> str:
+    def _coordinator(self, endpoint: EndpointId) -> str:
         """Return the host of the node that keeps count of an engine's prompts."""
-        host = self._keepers.get(endpoint)
+        host = self._coordinators.get(endpoint)
         if host is None:
             nodes = self.nodes()
-            host = nodes[choose_keeper(endpoint, nodes)]
-            self._keepers[endpoint] = host
+            host = nodes[choose_coordinator(endpoint, nodes)]
+            self._coordinators[endpoint] = host
         return host
 
     # asking
@@ -124,7 +124,7 @@
         now = self.monotonic()
         by_host: dict[str, list[EndpointId]] = defaultdict(list)
         for endpoint in endpoints:
-            by_host[self._keeper(endpoint)].append(endpoint)
+            by_host[self._coordinator(endpoint)].append(endpoint)
         views = self._views(self.own_host, by_host.pop(self.own_host, ()), parts)
         asked = {h for h in by_host if self._silent_until.get(h, now) <= now}
         if asked:
@@ -165,28 +165,28 @@
 
     # telling
 
-    def place(self, placed: Placement) -> None:
+    def add_prompt(self, placed: Placement) -> None:
         """Tell that this node has sent a prompt to an engine."""
-        host = self._keeper(placed.endpoint)
+        host = self._coordinator(placed.endpoint)
         if host == self.own_host:
-            self.table.place(host, placed, self.monotonic())
+            self.table.add_prompt(host, placed, self.monotonic())
         else:
             self.carrier.send_backlog(host, [PLACED, *placed.encode()])
 
-    def take_out(
+    def remove_prompt(
         self, endpoint: EndpointId, request: RequestId, end: PromptEnd
     ) -> None:
         """Tell that a prompt of this node has begun, or will not."""
-        host = self._keeper(endpoint)
+        host = self._coordinator(endpoint)
         if host == self.own_host:
-            self.table.take_out(endpoint, request, end, self.monotonic())
+            self.table.remove_prompt(endpoint, request, end, self.monotonic())
         else:
             message = [TAKEN_OUT, endpoint, request, end.value]
             self.carrier.send_backlog(host, message)
 
     # hearing
 
-    def hear(self, host: str, message: list[Any]) -> None:
+    def receive(self, host: str, message: list[Any]) -> None:
         """Take a peer's message; raises `ValueError` or the like if it is none."""
         kind, *rest = message
         if kind == QUESTION:
@@ -199,10 +199,10 @@
             number, told = rest
             self._take_answer(host, int(number), [BacklogView.decode(v) for v in told])
         elif kind == PLACED:
-            self.table.place(host, Placement.decode(rest), self.monotonic())
+            self.table.add_prompt(host, Placement.decode(rest), self.monotonic())
         elif kind == TAKEN_OUT:
             endpoint, request, end = rest
-            self.table.take_out(
+            self.table.remove_prompt(
                 EndpointId(str(endpoint)),
                 RequestId(str(request)),
                 PromptEnd(end),
--- a/poplarrelay/entry/backlogs.py
+++ b/poplarrelay/entry/backlogs.py
@@ -17,8 +17,8 @@
     "BacklogTable",
     "BacklogView",
     "Placement",
+    "PrefillSpeed",
     "PromptEnd",
-    "ReadingSpeed",
 ]
 
 #: First events over which an engine's speed is taken, and those needed to know it. A
@@ -100,7 +100,7 @@
         Prompt tokens of other nodes that the engine has to read first.
     speed : float
         Prompt tokens that it reads in a second; 0 if that is not known.
-    kept_parts : int
+    cached_parts : int
         How many of the prompt's shared parts, from the first on, it keeps.
     down : bool
         Whether a node has lately found it gone.
@@ -109,32 +109,32 @@
     endpoint: EndpointId
     tokens: int
     speed: float
-    kept_parts: int
+    cached_parts: int
     down: bool = False
 
     def encode(self) -> list[Any]:
         """Return a form for JSON."""
-        return [self.endpoint, self.tokens, self.speed, self.kept_parts, self.down]
+        return [self.endpoint, self.tokens, self.speed, self.cached_parts, self.down]
 
     @classmethod
     def decode(cls, raw: Sequence[Any]) -> BacklogView:
         """Return the view that a form for JSON holds; raises `ValueError`."""
-        endpoint, tokens, speed, kept_parts, down = raw
+        endpoint, tokens, speed, cached_parts, down = raw
         return cls(
             EndpointId(str(endpoint)),
             max(0, int(tokens)),
             max(0.0, float(speed)),
-            int(kept_parts),
+            int(cached_parts),
             bool(down),
         )
 
-    def kept_tokens(self, prefix: Sequence[PromptPart]) -> int:
+    def cached_tokens_at(self, prefix: Sequence[PromptPart]) -> int:
         """Return how much of a prompt's shared parts the engine keeps."""
-        return sum(part.tokens for part in prefix[:-1][: self.kept_parts])
+        return sum(part.tokens for part in prefix[:-1][: self.cached_parts])
 
 
 @dataclass(slots=True)
-class ReadingSpeed:
+class PrefillSpeed:
     """Prompt tokens a second that an engine reads, from its first events."""
 
     samples: deque[float] = field(default_factory=lambda: deque(maxlen=SPEED_SAMPLES))
@@ -173,7 +173,7 @@
         Monotonic time until which the engine counts as gone.
     """
 
-    speed: ReadingSpeed = field(default_factory=ReadingSpeed)
+    speed: PrefillSpeed = field(default_factory=PrefillSpeed)
     down_until: float = 0.0
     _waiting: dict[RequestId, _Waiting] = field(default_factory=dict)
     _first_since: float = 0.0
@@ -193,7 +193,7 @@
             total += left
         return total
 
-    def place(self, node: str, placed: Placement, now: float) -> None:
+    def add_prompt(self, node: str, placed: Placement, now: float) -> None:
         """Add a prompt to the line."""
         self._drop_stale(now)
         if not self._waiting:
@@ -204,7 +204,7 @@
         for part in placed.parts:
             self._parts[part] = self._placed_tokens
 
-    def take_out(self, request: RequestId, end: PromptEnd, now: float) -> None:
+    def remove_prompt(self, request: RequestId, end: PromptEnd, now: float) -> None:
         """Take a prompt out of line, and learn from what became of it."""
         if end is PromptEnd.ENGINE_GONE:
             self.down_until = now + DOWN_S
@@ -221,18 +221,18 @@
     def _drop_stale(self, now: float) -> None:
         for request, prompt in list(self._waiting.items()):
             if now - prompt.placed_at > FORGET_S:
-                self.take_out(request, PromptEnd.NOT_BEGUN, now)
+                self.remove_prompt(request, PromptEnd.NOT_BEGUN, now)
 
-    def count_kept(self, parts: Iterable[str]) -> int:
+    def count_cached(self, parts: Iterable[str]) -> int:
         """Return how many of a prompt's shared parts are kept, from the first on."""
         oldest = self._placed_tokens - KEPT_TOKENS
-        kept = 0
+        cached = 0
         for part in parts:
             used = self._parts.get(part)
             if used is None or used < oldest:
                 break
-            kept += 1
-        return kept
+            cached += 1
+        return cached
 
     def forget(self, now: float) -> None:
         """Drop prompts that nobody tells of any more, and parts taken for evicted."""
@@ -249,17 +249,19 @@
 
     backlogs: dict[EndpointId, Backlog] = field(default_factory=dict)
 
-    def place(self, node: str, placed: Placement, now: float) -> None:
+    def add_prompt(self, node: str, placed: Placement, now: float) -> None:
         """Add a node's prompt to an engine's line."""
-        self.backlogs.setdefault(placed.endpoint, Backlog()).place(node, placed, now)
+        self.backlogs.setdefault(placed.endpoint, Backlog()).add_prompt(
+            node, placed, now
+        )
 
-    def take_out(
+    def remove_prompt(
         self, endpoint: EndpointId, request: RequestId, end: PromptEnd, now: float
     ) -> None:
         """Take a prompt out of an engine's line."""
         backlog = self.backlogs.get(endpoint)
         if backlog is not None:
-            backlog.take_out(request, end, now)
+            backlog.remove_prompt(request, end, now)
 
     def view(
         self, node: str, endpoint: EndpointId, parts: Sequence[str], now: float
@@ -272,7 +274,7 @@
             endpoint,
             round(backlog.tokens(now, but_node=node)),
             round(backlog.speed.tokens_per_s),
-            backlog.count_kept(parts),
+            backlog.count_cached(parts),
             now < backlog.down_until,
         )
 
--- a/poplarrelay/entry/cells.py
+++ b/poplarrelay/entry/cells.py
@@ -19,7 +19,7 @@
 
 from poplarrelay.entry.configuration import ConfigurationVersion, ServiceName
 from poplarrelay.entry.metering import WindowNumber
-from poplarrelay.entry.rows import NodeState, PeerRow
+from poplarrelay.entry.peer_rows import NodeState, PeerRow
 from poplarrelay.identifiers import EndpointId, Incarnation, NodeId, TeamId
 
 __all__ = [
@@ -113,7 +113,7 @@
 
     Attributes
     ----------
-    speaker : NodeId
+    representative : NodeId
         Who has added it up.
     incarnation : Incarnation
         The speaker's process.
@@ -130,7 +130,7 @@
     """
 
     cell: Cell
-    speaker: NodeId
+    representative: NodeId
     incarnation: Incarnation
     version: int
     epoch: int
@@ -155,7 +155,7 @@
         """Return a form for JSON; lists spare the field names."""
         return [
             *self.cell,
-            self.speaker,
+            self.representative,
             self.incarnation,
             self.version,
             self.epoch,
@@ -170,11 +170,13 @@
     @classmethod
     def decode(cls, raw: list[Any]) -> CellSummary:
         """Return the summary that a form for JSON holds; raises `ValueError`."""
-        bits, number, speaker, incarnation, version, epoch, started_ms, *rest = raw
+        bits, number, representative, incarnation, version, epoch, started_ms, *rest = (
+            raw
+        )
         members, usage, spent, loads, demand = rest
         return cls(
             cell=Cell(int(bits), int(number)),
-            speaker=NodeId(str(speaker)),
+            representative=NodeId(str(representative)),
             incarnation=Incarnation(str(incarnation)),
             version=int(version),
             epoch=int(epoch),
@@ -239,7 +241,7 @@
             _add(demand, row.demand)
     return CellSummary(
         cell=cell,
-        speaker=me.node,
+        representative=me.node,
         incarnation=me.incarnation,
         version=version,
         epoch=epoch,
--- a/poplarrelay/entry/charging.py
+++ b/poplarrelay/entry/charging.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from time import monotonic
 
-from poplarrelay.entry.case import Case
 from poplarrelay.entry.outcomes import Refusal, RefusalReason
-from poplarrelay.entry.quotas import Bucket, cost_of, loosened
+from poplarrelay.entry.quotas import Bucket, raise_refill, request_cost
+from poplarrelay.entry.request_context import RequestContext
 from poplarrelay.entry.state import EntryState
 
-__all__ = ["Charges"]
+__all__ = ["QuotaCharges"]
 
 #: Part of the quotas' tolerance, divided by the nodes, that may be used of a tight
 #: bucket before the others are told: the untold use of all nodes together stays
@@ -23,7 +23,7 @@
 OVERRUN_SHARE = 0.5
 
 
-class Charges:
+class QuotaCharges:
     """Charges requests to their teams' quotas.
 
     Parameters
@@ -38,26 +38,26 @@
         self._state = state
         self._announce = announce
 
-    def charge(self, case: Case) -> Refusal | None:
+    def charge(self, context: RequestContext) -> Refusal | None:
         """Take a request's cost from its team's quota, or refuse it."""
-        team = case.team
+        team = context.team
         if team is None or team.quota is None:
             return None
         now = monotonic()
         bucket = self._state.bucket(team, now)
         assert bucket is not None
         bounds = self._state.settings.bounds
-        cost = cost_of(team.quota, case.request)
+        cost = request_cost(team.quota, context.request)
         over = bucket.take(
-            loosened(team.quota, OVERRUN_SHARE * bounds.quota_overrun),
+            raise_refill(team.quota, OVERRUN_SHARE * bounds.quota_overrun),
             cost,
             now,
             self._state.total_nodes,
             TOLERANCE_SHARE * bounds.quota_slack,
         )
-        case.quota_left = bucket.level
+        context.quota_left = bucket.level
         if over is None:
-            case.quota_cost = cost
+            context.quota_cost = cost
             if bucket.tight(team.quota):
                 self._tell_use(bucket)
             return None
@@ -75,11 +75,11 @@
         if untold > UNTOLD_SHARE * bounds.quota_slack / self._state.total_nodes:
             self._announce()
 
-    def refund(self, case: Case) -> None:
+    def refund(self, context: RequestContext) -> None:
         """Give back what a request that did not run has taken from its quota."""
-        if case.team is None or case.quota_cost == 0:
+        if context.team is None or context.quota_cost == 0:
             return
-        bucket = self._state.bucket(case.team, monotonic())
+        bucket = self._state.bucket(context.team, monotonic())
         if bucket is not None:
-            bucket.give_back(case.quota_cost)
-            case.quota_cost = 0.0
+            bucket.give_back(context.quota_cost)
+            context.quota_cost = 0.0
--- a/poplarrelay/entry/choosing.py
+++ b/poplarrelay/entry/choosing.py
@@ -15,12 +15,12 @@
 
 __all__ = [
     "Choice",
-    "Wish",
+    "SelectionCriteria",
+    "answered_since",
     "choose_candidate",
     "choose_endpoint",
-    "draw_candidates",
-    "usual_speed",
-    "vouched_rows",
+    "median_prefill_speed",
+    "sample_candidates",
 ]
 
 #: Prompt tokens that count like one request already at an engine: each request in its
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class SelectionCriteria:
     """What matters of a request for the choice.
 
     Attributes
@@ -62,7 +62,7 @@
     prompt_tokens: int
     shared_tokens: int
     tried: Collection[EndpointId]
-    near: DomainId
+    local_domain: DomainId
 
     @property
     def is_prompt(self) -> bool:
@@ -80,7 +80,7 @@
         Address of an engine that keeps more of the prompt's shared parts.
     unread_tokens : int
         What of its prompt the engine has to read.
-    line_s, reading_s : float
+    queue_s, prefill_s : float
         Seconds for which the engine reads other prompts first, and then this one.
     """
 
@@ -88,8 +88,8 @@
     reason: str
     fetch_from: Address | None = None
     unread_tokens: int = 0
-    line_s: float = 0.0
-    reading_s: float = 0.0
+    queue_s: float = 0.0
+    prefill_s: float = 0.0
 
 
 def _score(key: str, endpoint: EndpointId) -> int:
@@ -97,24 +97,28 @@
     return int.from_bytes(digest, "big")
 
 
-def _cost(row: Endpoint, near: DomainId) -> tuple[float, int, int]:
+def _cost(row: Endpoint, local_domain: DomainId) -> tuple[float, int, int]:
     """Return what makes an endpoint less welcome for a plain call.
 
     The time to the first answer grows with the requests there; among equals, one
     in the node's own failure domain saves bytes between domains.
     """
     pace = max(LEAST_ANSWER_S, row.health.first_answer_s)
-    return (row.load + 1) / max(1, row.slots) * pace, row.load, row.domain != near
+    return (
+        (row.load + 1) / max(1, row.slots) * pace,
+        row.load,
+        row.domain != local_domain,
+    )
 
 
-def usual_speed(rows: Sequence[Endpoint]) -> float:
+def median_prefill_speed(rows: Sequence[Endpoint]) -> float:
     """Return the prompt tokens a second that engines of a service read."""
-    known = [row.reading_speed for row in rows if row.reading_speed > 0]
+    known = [row.prefill_speed for row in rows if row.prefill_speed > 0]
     return median(known) if known else FIRST_SPEED
 
 
-def draw_candidates(
-    rows: Sequence[Endpoint], wish: Wish, now: float, rng: Random
+def sample_candidates(
+    rows: Sequence[Endpoint], criteria: SelectionCriteria, now: float, rng: Random
 ) -> list[Endpoint]:
     """Return the few engines among which a prompt's is chosen, its homes first.
 
@@ -124,8 +128,8 @@
     same ones without asking each other, and a home that is lost moves only its own
     prompts.
     """
-    pool, _ = _usable(rows, wish, now)
-    key = wish.affinity_key or ""
+    pool, _ = _usable(rows, criteria, now)
+    key = criteria.affinity_key or ""
     homes = nlargest(HOMES, pool, key=lambda row: _score(key, row.endpoint))
     others = [row for row in pool if row not in homes]
     return [*homes, *rng.sample(others, min(DRAWN, len(others)))]
@@ -133,10 +137,10 @@
 
 def choose_candidate(
     candidates: Sequence[Endpoint],
-    wish: Wish,
-    kept: Mapping[EndpointId, int],
+    criteria: SelectionCriteria,
+    cached_tokens: Mapping[EndpointId, int],
     now: float,
-    favour_home: bool = True,
+    assume_affinity_cached: bool = True,
 ) -> Choice:
     """Choose the engine at which a prompt's first event is due first.
 
@@ -144,13 +148,13 @@
     ----------
     candidates : sequence of Endpoint
         Those that were drawn, the first home first.
-    wish : Wish
+    criteria : SelectionCriteria
         What matters of the request.
-    kept : mapping of EndpointId to int
+    cached_tokens : mapping of EndpointId to int
         Tokens of its shared parts that engines are known to keep.
     now : float
         Monotonic time.
-    favour_home : bool
+    assume_affinity_cached : bool
         Whether the first home counts as keeping shared parts that nobody keeps.
 
     Notes
@@ -164,25 +168,25 @@
     another engine, which fetches the shared part. The choice takes no account of
     the fetch, or all prompts would move away from what they share.
     """
-    usual = usual_speed(candidates)
+    median_speed = median_prefill_speed(candidates)
     home = candidates[0]
-    believed = dict(kept)
-    if favour_home and not any(kept.values()):
-        believed = {home.endpoint: wish.shared_tokens}
+    believed = dict(cached_tokens)
+    if assume_affinity_cached and not any(cached_tokens.values()):
+        believed = {home.endpoint: criteria.shared_tokens}
 
     def speed(row: Endpoint) -> float:
-        return row.reading_speed or usual
+        return row.prefill_speed or median_speed
 
     def due_s(row: Endpoint) -> float:
-        unread = wish.prompt_tokens - believed.get(row.endpoint, 0)
+        unread = criteria.prompt_tokens - believed.get(row.endpoint, 0)
         work = row.backlog(now, speed(row)) + unread + TOKENS_PER_REQUEST * row.load
         return work / speed(row)
 
     best = min(candidates, key=due_s)
     source = max(candidates, key=lambda row: believed.get(row.endpoint, 0))
     missing = believed.get(source.endpoint, 0) - believed.get(best.endpoint, 0)
-    unread = wish.prompt_tokens - kept.get(best.endpoint, 0)
-    if missing > 0 and kept.get(source.endpoint, 0):
+    unread = criteria.prompt_tokens - cached_tokens.get(best.endpoint, 0)
+    if missing > 0 and cached_tokens.get(source.endpoint, 0):
         unread -= round((1 - FETCH_SHARE) * missing)
     return Choice(
         best,
@@ -194,7 +198,7 @@
     )
 
 
-def vouched_rows(rows: Sequence[Endpoint], since: float) -> list[Endpoint]:
+def answered_since(rows: Sequence[Endpoint], since: float) -> list[Endpoint]:
     """Return the endpoints whose own answers show that they have not left.
 
     Parameters
@@ -209,11 +213,11 @@
     For a node that can no longer tell how old its list is: any endpoint may have left
     meanwhile, but for those that have just answered.
     """
-    return [row for row in rows if row.vouched_at >= since]
+    return [row for row in rows if row.last_accepting_at >= since]
 
 
 def choose_endpoint(
-    rows: Sequence[Endpoint], wish: Wish, now: float, rng: Random
+    rows: Sequence[Endpoint], criteria: SelectionCriteria, now: float, rng: Random
 ) -> Choice | None:
     """Choose among the endpoints that accept work; None if all are full.
 
@@ -221,7 +225,7 @@
     ----------
     rows : sequence of Endpoint
         Those of the service that accept work.
-    wish : Wish
+    criteria : SelectionCriteria
         What matters of the request.
     now : float
         Monotonic time.
@@ -234,23 +238,23 @@
     wrong about a healthy one costs some load elsewhere, being wrong about a broken
     one costs the request.
     """
-    if wish.is_prompt:
-        candidates = draw_candidates(rows, wish, now, rng)
-        return choose_candidate(candidates, wish, {}, now) if candidates else None
-    pool, sound = _usable(rows, wish, now)
+    if criteria.is_prompt:
+        candidates = sample_candidates(rows, criteria, now, rng)
+        return choose_candidate(candidates, criteria, {}, now) if candidates else None
+    pool, sound = _usable(rows, criteria, now)
     if not pool:
         return None
     # The better of two drawn at random: all nodes read the same late news, and the
     # least loaded endpoint would be everyone's choice until the next news.
     pair = rng.sample(pool, 2) if len(pool) > 2 else pool
-    best = min(pair, key=lambda row: _cost(row, wish.near))
+    best = min(pair, key=lambda row: _cost(row, criteria.local_domain))
     return Choice(best, "least load" if sound else "least load, avoided")
 
 
 def _usable(
-    rows: Sequence[Endpoint], wish: Wish, now: float
+    rows: Sequence[Endpoint], criteria: SelectionCriteria, now: float
 ) -> tuple[list[Endpoint], bool]:
     """Return the endpoints with room, and whether any of those is sound."""
-    fresh = [row for row in rows if row.endpoint not in wish.tried and row.free]
+    fresh = [row for row in rows if row.endpoint not in criteria.tried and row.free]
     sound = [row for row in fresh if row.health.avoided_until <= now]
     return sound or fresh, bool(sound)
--- a/poplarrelay/entry/clock.py
+++ b/poplarrelay/entry/clock.py
@@ -58,7 +58,7 @@
         """Return the time of day on which most nodes agree."""
         return self._wall() + self.correction
 
-    def hear(self, peer: str, peer_wall: float, at: float) -> None:
+    def receive(self, peer: str, peer_wall: float, at: float) -> None:
         """Take the time of day that a peer has just sent.
 
         Parameters
--- a/poplarrelay/entry/following.py
+++ b/poplarrelay/entry/configuration_follower.py
@@ -20,11 +20,11 @@
     CONFIGURATION_TOPIC,
     decode_configuration,
 )
-from poplarrelay.platform.store import KeyedRecord, Store, split_page
+from poplarrelay.platform.store import KeyedRecord, Store, parse_page
 
 __all__ = [
+    "ConfigurationApplier",
     "ConfigurationFollower",
-    "ConfigurationView",
     "Dependency",
     "apply_configuration",
 ]
@@ -111,7 +111,7 @@
         The platform's store.
     dependency : Dependency
         Notes answers and failures.
-    view : ConfigurationView
+    applier : ConfigurationApplier
         Takes the records read.
     wait_s : float
         How long a read waits for the next record.
@@ -121,18 +121,18 @@
         self,
         store: Store,
         dependency: Dependency,
-        view: ConfigurationView,
+        applier: ConfigurationApplier,
         wait_s: float,
         rng: Random,
     ) -> None:
         self._store = store
         self._dependency = dependency
-        self._view = view
+        self._applier = applier
         self._wait_s = wait_s
         self._rng = rng
         self._next: Offset | None = None
 
-    def start_over(self) -> None:
+    def resync(self) -> None:
         """Read the newest record of every key before going on."""
         self._next = None
 
@@ -158,7 +158,7 @@
     async def _read(self) -> None:
         if self._next is None:
             records, self._next = await self._store.newest(CONFIGURATION_TOPIC)
-            self._view.take(records)
+            self._applier.take(records)
             return
         start = self._next
         page = await self._store.read(CONFIGURATION_TOPIC, 0, start, self._wait_s)
@@ -169,10 +169,10 @@
             # The store knows less than before: offsets mean nothing any more.
             self._next = None
         elif page.records:
-            self._view.take(split_page(page, start))
+            self._applier.take(parse_page(page, start))
 
 
-class ConfigurationView:
+class ConfigurationApplier:
     """Puts the configurations that a follower reads in force.
 
     Parameters
--- a/poplarrelay/entry/crashes.py
+++ b/poplarrelay/entry/crashes.py
@@ -21,7 +21,7 @@
 from poplarrelay.entry.endpoints import Endpoint
 from poplarrelay.identifiers import EndpointRun, RequestFingerprint, TeamId
 
-__all__ = ["CrashRecord", "CrashTable", "run_of"]
+__all__ = ["CrashRecord", "CrashTable", "endpoint_run"]
 
 _LOG = logging.getLogger("poplarrelay.entry.crashes")
 
@@ -51,7 +51,7 @@
 ANSWER_TOLERANCE_S = 1.0
 
 
-def run_of(row: Endpoint) -> EndpointRun:
+def endpoint_run(row: Endpoint) -> EndpointRun:
     """Return a digest that identifies the run of an endpoint."""
     name = f"{row.endpoint}|{row.started_ms}"
     return EndpointRun(hashlib.blake2b(name.encode(), digest_size=4).hexdigest())
@@ -205,7 +205,7 @@
             answered = CrashRecord(fingerprint, team, answered_at=now)
             self._merge(answered, now, "this node")
 
-    def hear(self, records: Iterable[list[Any]], host: str, now: float) -> None:
+    def receive(self, records: Iterable[list[Any]], host: str, now: float) -> None:
         """Merge a peer's records; raises `ValueError` if they are malformed."""
         for heard in [CrashRecord.decode(raw, now) for raw in records]:
             self._merge(heard, now, host)
--- a/poplarrelay/entry/duties.py
+++ b/poplarrelay/entry/duty_lease.py
@@ -9,7 +9,7 @@
 
 from poplarrelay.identifiers import NodeId
 
-__all__ = ["CANDIDATES", "DutyChange", "DutyLease", "is_candidate"]
+__all__ = ["CANDIDATES", "DutyLease", "LeaseChange", "is_candidate"]
 
 #: Part of the lease that a holder uses, counted from when it sent the renewal. The
 #: rest covers clocks that run at different speeds and calls already on their way.
@@ -55,7 +55,7 @@
     return hashlib.blake2b(f"duties|{node}".encode(), digest_size=8).digest()
 
 
-class DutyChange(Enum):
+class LeaseChange(Enum):
     """What a renewal changed."""
 
     NONE = "none"
@@ -76,7 +76,7 @@
         first in a new one. A duty that goes from one node to another and back at
         once would otherwise let both act within the time in which the platform
         allows only one change. A node that has not acted lately need not wait.
-    acted_at : float
+    last_action_at : float
         Monotonic time of the last act; a process that has just started may have
         acted before a restart, and begins with its time of start.
     clear_at : float
@@ -92,11 +92,11 @@
     generation: int = 0
     token: int = 0
     held: bool = False
-    acted_at: float = 0.0
+    last_action_at: float = 0.0
     clear_at: float = 0.0
     renewed_at: float = float("-inf")
 
-    def renew(self, holds: bool, generation: int, sent_at: float) -> DutyChange:
+    def renew(self, holds: bool, generation: int, sent_at: float) -> LeaseChange:
         """Take the store's answer to a renewal.
 
         Parameters
@@ -116,14 +116,14 @@
         self.renewed_at = sent_at
         if not holds:
             self.held = False
-            return DutyChange.LOST if was_held else DutyChange.NONE
+            return LeaseChange.LOST if was_held else LeaseChange.NONE
         if was_held and not lapsed and not rebuilt:
-            return DutyChange.NONE
+            return LeaseChange.NONE
         # After a lapse another node may have held it in between.
         self.held = True
-        self.clear_at = self.acted_at + self.wait_s + WAIT_MARGIN_S
+        self.clear_at = self.last_action_at + self.wait_s + WAIT_MARGIN_S
         self.token = generation
-        return DutyChange.TAKEN
+        return LeaseChange.TAKEN
 
     def may_act(self, now: float) -> bool:
         """Return whether this node may act on the duty at this moment."""
@@ -133,10 +133,10 @@
             and now >= self.clear_at
         )
 
-    def note_act(self, now: float) -> None:
+    def record_action(self, now: float) -> None:
         """Note that this node acts on the duty."""
-        self.acted_at = now
+        self.last_action_at = now
 
-    def give_up(self) -> None:
+    def relinquish(self) -> None:
         """Stop holding it, as after a freeze: the lease may have passed on."""
         self.held = False
--- a/poplarrelay/entry/dutying.py
+++ b/poplarrelay/entry/duty_worker.py
@@ -9,20 +9,20 @@
 
 import orjson
 
-from poplarrelay.entry.duties import DutyChange, DutyLease, is_candidate
+from poplarrelay.entry.duty_lease import DutyLease, LeaseChange, is_candidate
 from poplarrelay.entry.metering import WindowNumber, merge_counts
-from poplarrelay.entry.ordering import ROUND_S, EndpointOrders
+from poplarrelay.entry.scaling import SCALING_INTERVAL_S, EndpointScaler
 from poplarrelay.entry.state import EntryState
 from poplarrelay.exception import AppendRefused, HistoryTrimmed, PlatformUnavailable
 from poplarrelay.identifiers import NodeId, Offset, TeamId
 from poplarrelay.platform.cloud import (
-    CloudApi,
+    CloudClient,
     CloudOutcome,
     DutyStamp,
 )
-from poplarrelay.platform.store import Appender, Store
+from poplarrelay.platform.store import Producer, Store
 
-__all__ = ["DutyRunner", "UsageLedger"]
+__all__ = ["DutyWorker", "UsageLedger"]
 
 _LOG = logging.getLogger("poplarrelay.entry.duty")
 
@@ -90,7 +90,7 @@
         self.acknowledged = {w for w in self.acknowledged if w >= before}
 
 
-class DutyRunner:
+class DutyWorker:
     """Takes part in the group of nodes that share the duties, and does them.
 
     Parameters
@@ -99,19 +99,21 @@
         The node's tables.
     store : Store
         Where the duty is held and counts are decided.
-    cloud : CloudApi
+    cloud : CloudClient
         Where usage is reported and endpoints are ordered.
     """
 
-    def __init__(self, state: EntryState, store: Store, cloud: CloudApi) -> None:
+    def __init__(self, state: EntryState, store: Store, cloud: CloudClient) -> None:
         self._state = state
         self._store = store
         self._cloud = cloud
         bounds = state.settings.bounds
         ttl_s = max(TTL_S, state.settings.platform.group_ttl_min_ms / 1000)
         # A process of this node may have acted just before a restart.
-        acted_at = float("-inf") if state.settings.first_start else monotonic()
-        self._lease = DutyLease(ttl_s, bounds.lease_ms / 1000, acted_at=acted_at)
+        last_action_at = float("-inf") if state.settings.first_start else monotonic()
+        self._lease = DutyLease(
+            ttl_s, bounds.lease_ms / 1000, last_action_at=last_action_at
+        )
         self._member = f"{state.me.node}/{state.me.incarnation}"
         self._ledger = UsageLedger()
         self._ledger_next = Offset(0)
@@ -120,7 +122,7 @@
         self._pending: tuple[WindowNumber, dict[TeamId, int]] | None = None
         self._retired = False
         self._started_at = monotonic()
-        self._endpoint_orders = EndpointOrders(
+        self._endpoint_scaler = EndpointScaler(
             state, cloud, self._lease, lambda: self._stamp
         )
 
@@ -157,7 +159,7 @@
             return
         holds = DUTY_PARTITION in share.partitions
         change = self._lease.renew(holds, share.generation, sent_at)
-        if change is not DutyChange.NONE:
+        if change is not LeaseChange.NONE:
             _LOG.info(
                 "duty",
                 extra={
@@ -173,7 +175,7 @@
         await self._leave()
 
     async def _leave(self) -> None:
-        self._lease.give_up()
+        self._lease.relinquish()
         while True:
             try:
                 await self._store.leave(GROUP, self._member)
@@ -204,13 +206,13 @@
         takes its whole timeout, and orders would wait behind all open windows.
         """
         while True:
-            await self._endpoint_orders.run_round()
-            await asyncio.sleep(ROUND_S)
+            await self._endpoint_scaler.run_round()
+            await asyncio.sleep(SCALING_INTERVAL_S)
 
     @property
     def _stamp(self) -> DutyStamp:
         """Return what a call bears, and note that this node acts."""
-        self._lease.note_act(monotonic())
+        self._lease.record_action(monotonic())
         return DutyStamp(NodeId(self._state.me.node), self._lease.token)
 
     async def _fenced(self, why: str) -> None:
@@ -239,7 +241,7 @@
             return
         self._sequence = 0
         self._pending = None
-        await self._store.append(LEDGER_TOPIC, 0, [], self._appender())
+        await self._store.append(LEDGER_TOPIC, 0, [], self._producer())
         self._sequence = 1
         await self._read_ledger()
         self._prepared_token = token
@@ -257,8 +259,8 @@
             if not page.records or page.next >= page.end:
                 return
 
-    def _appender(self) -> Appender:
-        return Appender("usage", self._lease.token, self._sequence)
+    def _producer(self) -> Producer:
+        return Producer("usage", self._lease.token, self._sequence)
 
     async def _report_usage(self) -> None:
         window_s = self._state.usage.window_s
@@ -297,7 +299,7 @@
         assert self._pending is not None
         window, counts = self._pending
         record = UsageLedger.encode(window, counts)
-        await self._store.append(LEDGER_TOPIC, 0, [record], self._appender())
+        await self._store.append(LEDGER_TOPIC, 0, [record], self._producer())
         self._sequence += 1
         self._pending = None
         self._ledger.decided[window] = counts
--- a/poplarrelay/entry/listing.py
+++ b/poplarrelay/entry/endpoint_list.py
@@ -201,7 +201,7 @@
 
     # what comes from the store
 
-    def take_newest(self, records: list[KeyedRecord], as_of: Offset) -> None:
+    def apply_newest(self, records: list[KeyedRecord], as_of: Offset) -> None:
         """Take the newest records of all endpoints, as of an offset."""
         listed = self._take_records(records)
         self._drop_missing(listed, as_of, "removed")
@@ -210,7 +210,7 @@
         self._floor = max(self._floor, as_of)
         self._finish()
 
-    def take_records(self, records: list[KeyedRecord]) -> None:
+    def apply_records(self, records: list[KeyedRecord]) -> None:
         """Take records in the order in which they were written."""
         self._take_records(records)
         self._finish()
@@ -253,14 +253,14 @@
 
     # what comes from peers
 
-    def take_changes(self, changes: Iterable[EndpointChange], peer: str) -> None:
+    def apply_changes(self, changes: Iterable[EndpointChange], peer: str) -> None:
         """Take changes that a peer has passed on."""
         now = self._clock()
         for change in changes:
             self._take(change, f"told by {peer}", now)
         self._finish()
 
-    def take_all(
+    def replace_all(
         self, changes: Iterable[EndpointChange], as_of: Offset, peer: str
     ) -> None:
         """Take a peer's whole list, which knows every record before an offset."""
@@ -387,7 +387,7 @@
                 "reclaimable": row.reclaimable,
                 "leaves_in_s": None if row.leaves_at is None else row.leaves_at - now,
                 "offset": offset,
-                "list_age_s": round(freshness.told_age_s(now), 2),
+                "list_age_s": round(freshness.reported_age_s(now), 2),
                 "reads_failed_s": round(self._reads_failed_s(now), 2),
             },
         )
@@ -420,7 +420,7 @@
             changed = self._known.pop(endpoint).changed
             self._floor = max(self._floor, Offset(changed + 1))
 
-    def start_over(self) -> None:
+    def resync(self) -> None:
         """Forget all offsets: the store counts anew.
 
         Notes
@@ -431,7 +431,7 @@
             known.offset = known.changed = Offset(-1)
         self._floor = Offset(0)
         self._state.freshness.as_of = Offset(0)
-        self._state.freshness.distrust()
+        self._state.freshness.invalidate()
 
     def _finish(self) -> None:
         self.digest = digest_of(self._state.endpoints.rows.values())
--- a/poplarrelay/entry/reading.py
+++ b/poplarrelay/entry/endpoint_reader.py
@@ -8,13 +8,13 @@
 from random import Random
 from time import monotonic
 
-from poplarrelay.entry.following import Dependency
-from poplarrelay.entry.freshness import ListFreshness
-from poplarrelay.entry.listing import EndpointList
+from poplarrelay.entry.configuration_follower import Dependency
+from poplarrelay.entry.endpoint_list import EndpointList
+from poplarrelay.entry.list_freshness import ListFreshness
 from poplarrelay.exception import HistoryTrimmed, PlatformUnavailable
 from poplarrelay.identifiers import Offset
 from poplarrelay.platform.records import ENDPOINTS_TOPIC
-from poplarrelay.platform.store import ANSWER_TIMEOUT_S, Store, split_page
+from poplarrelay.platform.store import ANSWER_TIMEOUT_S, Store, parse_page
 
 __all__ = ["EndpointReader"]
 
@@ -64,7 +64,7 @@
         self._whole = True
         self._failures = 0
 
-    def start_over(self) -> None:
+    def resync(self) -> None:
         """Read the newest record of every endpoint next."""
         self._whole = True
         self._freshness.behind = True
@@ -123,7 +123,7 @@
             self._whole = True
             raise
         self._log(None, as_of, len(records))
-        self._endpoints.take_newest(records, as_of)
+        self._endpoints.apply_newest(records, as_of)
         self._freshness.note_read(sent_at, as_of)
 
     async def _read_on(self, sent_at: float) -> None:
@@ -133,12 +133,12 @@
         )
         if page.end < start:
             _LOG.error("store counts anew", extra={"start": start, "end": page.end})
-            self._endpoints.start_over()
+            self._endpoints.resync()
             self._whole = True
             return
         self._log(start, page.next, len(page.records))
         if page.records:
-            self._endpoints.take_records(split_page(page, start))
+            self._endpoints.apply_records(parse_page(page, start))
         if page.next >= page.end:
             self._freshness.note_read(sent_at, page.next)
         else:
@@ -151,6 +151,6 @@
                 "start": "newest of each" if start is None else start,
                 "next": end,
                 "records": records,
-                "list_age_s": round(self._freshness.told_age_s(monotonic()), 2),
+                "list_age_s": round(self._freshness.reported_age_s(monotonic()), 2),
             },
         )
--- a/poplarrelay/entry/endpoints.py
+++ b/poplarrelay/entry/endpoints.py
@@ -49,7 +49,7 @@
         Whether the platform may take it away on short notice.
     leaves_at : float or None
         Monotonic time at which it will be gone, if it says so.
-    own_share : int
+    slot_share : int
         Requests that this node keeps at it at most, by the number of nodes.
     running : int
         Requests of this node that are at it.
@@ -59,9 +59,9 @@
         Tokens that it has to read of this node's prompts that have had no event yet.
     prefill_elsewhere : int
         The same of other nodes' prompts, as last told by the node that keeps count.
-    prefill_told_at : float
+    prefill_reported_at : float
         Monotonic time at which that was told.
-    reading_speed : float
+    prefill_speed : float
         Prompt tokens that it reads in a second, 0 if that is not known.
     suspended_until : float
         Monotonic time until which a record that went missing while the store was
@@ -78,7 +78,7 @@
         Monotonic time at which the next permit is due, by the last answer.
     next_ask_at : float
         Earliest monotonic time at which this node may ask for a permit.
-    vouched_at : float
+    last_accepting_at : float
         Monotonic time of the last request whose answer shows that the endpoint was
         not leaving then.
     """
@@ -92,13 +92,13 @@
     gone: bool = False
     reclaimable: bool = False
     leaves_at: float | None = None
-    own_share: int = 1_000_000
+    slot_share: int = 1_000_000
     running: int = 0
     elsewhere: int = 0
     prefill_tokens: int = 0
     prefill_elsewhere: int = 0
-    prefill_told_at: float = 0.0
-    reading_speed: float = 0.0
+    prefill_reported_at: float = 0.0
+    prefill_speed: float = 0.0
     suspended_until: float | None = None
     started_ms: StartTime | None = None
     limit_per_s: float | None = None
@@ -106,7 +106,7 @@
     permits: list[float] = field(default_factory=list)
     next_permit_at: float = float("-inf")
     next_ask_at: float = float("-inf")
-    vouched_at: float = float("-inf")
+    last_accepting_at: float = float("-inf")
     health: Health = field(default_factory=Health)
 
     @property
@@ -119,12 +119,12 @@
         """Return the requests at it, of all nodes."""
         return self.running + self.elsewhere
 
-    def hear_backlog(self, elsewhere: int, speed: float, now: float) -> None:
+    def update_backlog(self, elsewhere: int, speed: float, now: float) -> None:
         """Take what the node that keeps count of its prompts tells."""
         self.prefill_elsewhere = elsewhere
-        self.prefill_told_at = now
+        self.prefill_reported_at = now
         if speed > 0:
-            self.reading_speed = speed
+            self.prefill_speed = speed
 
     def backlog(self, now: float, speed: float) -> float:
         """Return the prompt tokens in line at it, of all nodes.
@@ -136,17 +136,17 @@
         speed : float
             Tokens a second that it has read since it was last told of.
         """
-        read = speed * (now - self.prefill_told_at)
+        read = speed * (now - self.prefill_reported_at)
         return self.prefill_tokens + max(0.0, self.prefill_elsewhere - read)
 
     @property
     def free(self) -> int:
         """Return how many more requests it takes at once."""
-        own = min(self.own_share, self.slots) - self.running
+        own = min(self.slot_share, self.slots) - self.running
         free = max(0, min(own, self.slots - self.load))
         return free if self.limit_per_s is None else min(free, len(self.permits))
 
-    def take_place(self) -> None:
+    def acquire_slot(self) -> None:
         """Take a place for a request, and use up a permit if a limit applies."""
         self.running += 1
         if self.limit_per_s is not None and self.permits:
--- a/poplarrelay/entry/gossip.py
+++ b/poplarrelay/entry/gossip.py
@@ -11,15 +11,20 @@
 
 import orjson
 
+from poplarrelay.entry.backlog_client import BacklogClient
 from poplarrelay.entry.cells import Cell, CellSummary, cell_of, version_of
 from poplarrelay.entry.clock import ClusterClock
 from poplarrelay.entry.crashes import CrashTable
-from poplarrelay.entry.exchange import Answer, Hint, ListExchange, Question
-from poplarrelay.entry.freshness import NEVER_S
+from poplarrelay.entry.list_exchange import (
+    ChangesReply,
+    ChangesRequest,
+    ListAnnouncement,
+    ListExchange,
+)
+from poplarrelay.entry.list_freshness import NEVER_S
+from poplarrelay.entry.peer_rows import PeerRow, decode_row, encode_row
 from poplarrelay.entry.peers import PeerTable
 from poplarrelay.entry.permits import PermitBroker
-from poplarrelay.entry.rows import PeerRow, decode_row, encode_row
-from poplarrelay.entry.surveying import BacklogSurvey
 from poplarrelay.identifiers import NodeId, Offset
 
 __all__ = ["FANOUT", "Gossip", "pick_targets"]
@@ -98,7 +103,7 @@
         self._table = table
         self._clock = clock
         self._exchange: ListExchange | None = None
-        self._survey: BacklogSurvey | None = None
+        self._backlog_client: BacklogClient | None = None
         self._crashes: CrashTable | None = None
         self._permits: PermitBroker | None = None
         self._on_news = on_news
@@ -115,8 +120,8 @@
         #: Whether other cells should hear of this one before the next round is due.
         self.urgent = False
 
-    def carry(
-        self, exchange: ListExchange, survey: BacklogSurvey | None = None
+    def attach_list_exchange(
+        self, exchange: ListExchange, backlog_client: BacklogClient | None = None
     ) -> None:
         """Carry what nodes tell each other of endpoints as well.
 
@@ -124,17 +129,17 @@
         ----------
         exchange : ListExchange
             Of the list of endpoints.
-        survey : BacklogSurvey or None
+        backlog_client : BacklogClient or None
             Of prompts in line at them.
         """
         self._exchange = exchange
-        self._survey = survey
+        self._backlog_client = backlog_client
 
-    def carry_crashes(self, crashes: CrashTable) -> None:
+    def attach_crashes(self, crashes: CrashTable) -> None:
         """Exchange records of crashes with other nodes."""
         self._crashes = crashes
 
-    def carry_permits(self, permits: PermitBroker) -> None:
+    def attach_permits(self, permits: PermitBroker) -> None:
         """Exchange endpoint limits and permits with other nodes."""
         self._permits = permits
 
@@ -167,16 +172,16 @@
         now = self._monotonic()
         exchange = self._exchange
         if "question" in message:
-            question = Question.decode(message["question"])
+            request = ChangesRequest.decode(message["question"])
             if exchange is not None:
-                exchange.hear_question(host, question, now)
+                exchange.receive_changes_request(host, request, now)
         elif "answer" in message:
-            answer = Answer.decode(message["answer"])
+            reply = ChangesReply.decode(message["answer"])
             if exchange is not None:
-                exchange.hear_answer(host, answer, now)
+                exchange.receive_changes_reply(host, reply, now)
         elif "backlog" in message:
-            if self._survey is not None:
-                self._survey.hear(host, message["backlog"])
+            if self._backlog_client is not None:
+                self._backlog_client.receive(host, message["backlog"])
         else:
             self._take_rows(message, host, now)
 
@@ -189,29 +194,31 @@
             for raw in message.get("cells", ())
             if table.wants_summary(*version_of(raw))
         ]
-        hint = Hint.decode(message["hint"])
-        self._clock.hear(message["from"], message["wall"], now)
+        announcement = ListAnnouncement.decode(message["hint"])
+        self._clock.receive(message["from"], message["wall"], now)
         if self._exchange is not None:
-            self._exchange.hear_hint(host, hint, now)
+            self._exchange.receive_announcement(host, announcement, now)
             if "reading" in message:
-                self._exchange.hear_reading(now)
+                self._exchange.receive_read_notice(now)
         if self._crashes is not None:
-            self._crashes.hear(message.get("crashes", ()), host, now)
+            self._crashes.receive(message.get("crashes", ()), host, now)
         if self._permits is not None:
-            self._permits.hear(host, message.get("permits", ()))
+            self._permits.receive(host, message.get("permits", ()))
         for row in rows:
             before = self._table.seen.get(row.node)
-            if self._table.hear(row, now):
+            if self._table.receive(row, now):
                 self._hot[row.node] = HOT_ROUNDS
                 self._on_news(row)
                 if before is None or before.row.state is not row.state:
-                    self.urgent = self.urgent or self._table.speaks(now)
+                    self.urgent = self.urgent or self._table.is_representative(now)
         for summary in summaries:
-            if self._table.hear_summary(summary, now):
+            if self._table.receive_summary(summary, now):
                 self._hot_cells[summary.cell] = HOT_ROUNDS
                 self._on_summary(summary)
         if "ask" in message:
-            self._send(self._encode([encode_row(table.me)], self._hint(), []), [host])
+            self._send(
+                self._encode([encode_row(table.me)], self._announcement(), []), [host]
+            )
         if told and not table.in_cell(told[0][0]):
             self._introduce(decode_row(told[0]), now)
 
@@ -232,7 +239,9 @@
         mine = cell_of(row.node, self._table.bits)
         summaries.sort(key=lambda summary: summary.cell != mine)
         encoded = [summary.encode() for summary in summaries]
-        for data in self._packets([encode_row(self._table.me)], encoded, self._hint()):
+        for data in self._packets(
+            [encode_row(self._table.me)], encoded, self._announcement()
+        ):
             self._send(data, [row.host])
 
     def error_received(self, exc: Exception) -> None:
@@ -259,21 +268,21 @@
         others = [host for host in seeds if host != table.me.host]
         others += table.contacts.values()
         targets = alive if to_all else pick_targets(alive, silent, others, self._rng)
-        if table.speaks(now):
+        if table.is_representative(now):
             self._send_elsewhere([table.own_summary(now).encode()], FANOUT, now)
         hot = self._hot_summaries()
         for data in self._message(hot):
             self._send(data, targets)
         if hot and not to_all:
             self._send_elsewhere(hot, FANOUT_ELSEWHERE, now)
-        self.tell_crashes()
+        self.send_crashes()
         overdue = table.overdue(now)
         if overdue:
             own = [encode_row(table.me)]
-            message = self._encode(own, self._hint(), [], ask=True)
+            message = self._encode(own, self._announcement(), [], ask=True)
             self._send(message, overdue[:MOST_ASKED])
 
-    def tell_crashes(self) -> None:
+    def send_crashes(self) -> None:
         """Send records of crashes to some nodes of any cell."""
         if self._crashes is None or self._transport is None:
             return
@@ -284,14 +293,14 @@
         hosts = [row.host for row in self._table.alive(now)]
         targets = self._rng.sample(hosts, min(CRASH_FANOUT, len(hosts)))
         # The list of rows is empty but present: older nodes cannot read news without.
-        data = self._encode([], self._hint(), [], crashes=records)
+        data = self._encode([], self._announcement(), [], crashes=records)
         self._send(data, targets)
 
-    def tell_use(self) -> None:
+    def broadcast_row(self) -> None:
         """Tell every node of this cell this node's row and nothing else."""
         alive = [row.host for row in self._table.alive_rows(self._monotonic())]
-        hint = self._hint(departures=True)
-        self._send(self._encode([encode_row(self._table.me)], hint, []), alive)
+        announcement = self._announcement(departures=True)
+        self._send(self._encode([encode_row(self._table.me)], announcement, []), alive)
 
     def _send_elsewhere(
         self, summaries: list[list[Any]], most: int, now: float
@@ -300,24 +309,30 @@
         targets = self._rng.sample(hosts, min(most, len(hosts)))
         if not targets:
             return
-        for data in self._packets([], summaries, self._hint()):
+        for data in self._packets([], summaries, self._announcement()):
             self._send(data, targets)
 
-    def send_hint(self, hosts: Sequence[str], hint: Hint) -> None:
+    def send_announcement(
+        self, hosts: Sequence[str], announcement: ListAnnouncement
+    ) -> None:
         """Tell some nodes of this node's list out of turn."""
-        self._send(self._encode([], hint, []), hosts)
+        self._send(self._encode([], announcement, []), hosts)
 
-    def send_reading(self, hosts: Sequence[str], hint: Hint) -> None:
+    def send_read_notice(
+        self, hosts: Sequence[str], announcement: ListAnnouncement
+    ) -> None:
         """Tell some nodes that this node begins to read the store."""
-        self._send(self._encode([], hint, [], reading=True), hosts)
+        self._send(self._encode([], announcement, [], reading=True), hosts)
 
-    def send_question(self, hosts: Sequence[str], question: Question) -> None:
+    def send_changes_request(
+        self, hosts: Sequence[str], request: ChangesRequest
+    ) -> None:
         """Ask some nodes what this node's list lacks."""
-        self._send(_pack({"question": question.encode()}), hosts)
+        self._send(_pack({"question": request.encode()}), hosts)
 
-    def send_answer(self, host: str, answer: Answer) -> None:
+    def send_changes_reply(self, host: str, reply: ChangesReply) -> None:
         """Answer a node's question."""
-        self._send(_pack({"answer": answer.encode()}), [host])
+        self._send(_pack({"answer": reply.encode()}), [host])
 
     def send_backlog(self, host: str, message: list[Any]) -> None:
         """Send a node a message of the survey of prompts in line, uncompressed.
@@ -336,7 +351,8 @@
         that do not know the field accept.
         """
         self._send(
-            orjson.dumps(self._news([], self._hint(), [], permits=messages)), hosts
+            orjson.dumps(self._news([], self._announcement(), [], permits=messages)),
+            hosts,
         )
 
     def _send(self, data: bytes, hosts: Sequence[str]) -> None:
@@ -358,13 +374,13 @@
             self._hot[node] -= 1
             if self._hot[node] <= 0:
                 del self._hot[node]
-        return self._packets(rows, summaries, self._hint(departures=True))
+        return self._packets(rows, summaries, self._announcement(departures=True))
 
     def _hot_summaries(self) -> list[list[Any]]:
         """Return the summaries that are still passed on, each a few times."""
         found = []
         now = self._monotonic()
-        if self._table.speaks(now):
+        if self._table.is_representative(now):
             found.append(self._table.own_summary(now).encode())
         hot = list(self._hot_cells)
         self._rng.shuffle(hot)
@@ -378,10 +394,13 @@
         return found
 
     def _packets(
-        self, rows: list[list[Any]], summaries: list[list[Any]], hint: Hint
+        self,
+        rows: list[list[Any]],
+        summaries: list[list[Any]],
+        announcement: ListAnnouncement,
     ) -> list[bytes]:
         """Return rows and summaries in as few datagrams as they fit in."""
-        data = self._encode(rows, hint, summaries)
+        data = self._encode(rows, announcement, summaries)
         if len(data) <= MAX_DATAGRAM_BYTES or len(rows) + len(summaries) <= 1:
             return [data]
         if rows and summaries:
@@ -392,9 +411,9 @@
                 (rows[:half], summaries[:half]),
                 (rows[half:], summaries[half:]),
             ]
-        return [data for part in parts for data in self._packets(*part, hint)]
+        return [data for part in parts for data in self._packets(*part, announcement)]
 
-    def _hint(self, departures: bool = False) -> Hint:
+    def _announcement(self, departures: bool = False) -> ListAnnouncement:
         """Return what to tell of the list of endpoints.
 
         Notes
@@ -403,25 +422,25 @@
         not use them up, or most others learn of it later than the bound allows.
         """
         if self._exchange is None:
-            return Hint(Offset(0), NEVER_S)
+            return ListAnnouncement(Offset(0), NEVER_S)
         now = self._monotonic()
         if departures:
-            return self._exchange.hint(now)
-        return self._exchange.plain_hint(now)
+            return self._exchange.announcement(now)
+        return self._exchange.plain_announcement(now)
 
     def _encode(
         self,
         rows: list[list[Any]],
-        hint: Hint,
+        announcement: ListAnnouncement,
         summaries: list[list[Any]],
         **fields: Any,
     ) -> bytes:
-        return _pack(self._news(rows, hint, summaries, **fields))
+        return _pack(self._news(rows, announcement, summaries, **fields))
 
     def _news(
         self,
         rows: list[list[Any]],
-        hint: Hint,
+        announcement: ListAnnouncement,
         summaries: list[list[Any]],
         **fields: Any,
     ) -> dict[str, Any]:
@@ -429,7 +448,7 @@
         return {
             "from": self._table.me.node,
             "wall": self._clock.own,
-            "hint": hint.encode(),
+            "hint": announcement.encode(),
             "rows": rows,
             "cells": summaries,
             **fields,
--- a/poplarrelay/entry/exchange.py
+++ b/poplarrelay/entry/list_exchange.py
@@ -8,11 +8,17 @@
 from random import Random
 from typing import Any, Protocol
 
-from poplarrelay.entry.freshness import ListFreshness
-from poplarrelay.entry.listing import EndpointChange, EndpointList
+from poplarrelay.entry.endpoint_list import EndpointChange, EndpointList
+from poplarrelay.entry.list_freshness import ListFreshness
 from poplarrelay.identifiers import EndpointId, Offset
 
-__all__ = ["Answer", "Hint", "ListExchange", "Question", "Sender"]
+__all__ = [
+    "ChangesReply",
+    "ChangesRequest",
+    "ListAnnouncement",
+    "ListExchange",
+    "Sender",
+]
 
 _LOG = logging.getLogger("poplarrelay.entry.exchange")
 
@@ -48,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hint:
+class ListAnnouncement:
     """What a node says of its list unasked; nobody can tell how long it was on its way.
 
     Attributes
@@ -70,14 +76,14 @@
         return [self.as_of, self.age_s, _encode_changes(self.changes)]
 
     @classmethod
-    def decode(cls, raw: list[Any]) -> Hint:
+    def decode(cls, raw: list[Any]) -> ListAnnouncement:
         """Return the hint that a form for JSON holds; raises `ValueError`."""
         as_of, age_s, changes = raw
         return cls(Offset(int(as_of)), float(age_s), _decode_changes(changes))
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class ChangesRequest:
     """Asks a peer for all changes from an offset on.
 
     Attributes
@@ -96,14 +102,14 @@
         return [self.number, self.since]
 
     @classmethod
-    def decode(cls, raw: list[Any]) -> Question:
+    def decode(cls, raw: list[Any]) -> ChangesRequest:
         """Return the question that a form for JSON holds; raises `ValueError`."""
         number, since = raw
         return cls(int(number), Offset(int(since)))
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ChangesReply:
     """All changes between the offset that was asked for and another one.
 
     Attributes
@@ -131,7 +137,7 @@
         return [self.number, self.as_of, self.age_s, self.digest, changes]
 
     @classmethod
-    def decode(cls, raw: list[Any]) -> Answer:
+    def decode(cls, raw: list[Any]) -> ChangesReply:
         """Return the answer that a form for JSON holds; raises `ValueError`."""
         number, as_of, age_s, digest, changes = raw
         return cls(
@@ -171,16 +177,22 @@
 class Sender(Protocol):
     """Carries messages to peers, which may lose, delay and reorder them."""
 
-    def send_hint(self, hosts: Sequence[str], hint: Hint) -> None:
+    def send_announcement(
+        self, hosts: Sequence[str], announcement: ListAnnouncement
+    ) -> None:
         """Tell some peers."""
 
-    def send_reading(self, hosts: Sequence[str], hint: Hint) -> None:
+    def send_read_notice(
+        self, hosts: Sequence[str], announcement: ListAnnouncement
+    ) -> None:
         """Tell some peers that this node begins to read the store."""
 
-    def send_question(self, hosts: Sequence[str], question: Question) -> None:
+    def send_changes_request(
+        self, hosts: Sequence[str], request: ChangesRequest
+    ) -> None:
         """Ask some peers."""
 
-    def send_answer(self, host: str, answer: Answer) -> None:
+    def send_changes_reply(self, host: str, reply: ChangesReply) -> None:
         """Answer a peer."""
 
 
@@ -194,7 +206,7 @@
         This node's list.
     alive : callable
         Returns the hosts of the peers that are alive.
-    start_over : callable
+    resync : callable
         Has this node read the whole list from the store.
     wake : callable
         Has `tick` called within `TELL_S`.
@@ -216,15 +228,15 @@
     freshness: ListFreshness
     sender: Sender
     alive: Callable[[float], list[str]]
-    start_over: Callable[[], None]
+    resync: Callable[[], None]
     wake: Callable[[], None]
     rng: Random
     _asked: dict[int, float] = field(default_factory=dict)
     _number: int = 0
     _asked_at: float = float("-inf")
     _hot: dict[EndpointId, int] = field(default_factory=dict)
-    _told_at: float = float("-inf")
-    _told_fresh_at: float = float("-inf")
+    _announced_at: float = float("-inf")
+    _announced_confirmed_at: float = float("-inf")
     _urgent: int = 0
 
     # telling
@@ -237,16 +249,18 @@
 
     def note_confirmed(self) -> None:
         """Note that this node's list has become fresher."""
-        if self.freshness.fresh_at - self._told_fresh_at >= FRESHER_S:
+        if self.freshness.confirmed_at - self._announced_confirmed_at >= FRESHER_S:
             self.wake()
 
-    def hint(self, now: float) -> Hint:
+    def announcement(self, now: float) -> ListAnnouncement:
         """Return what to tell peers with the next datagram to several of them."""
-        return replace(self.plain_hint(now), changes=self._hot_changes())
+        return replace(self.plain_announcement(now), changes=self._hot_changes())
 
-    def plain_hint(self, now: float) -> Hint:
+    def plain_announcement(self, now: float) -> ListAnnouncement:
         """Return how far the list goes, without the departures that are still told."""
-        return Hint(self.freshness.as_of, self.freshness.told_age_s(now))
+        return ListAnnouncement(
+            self.freshness.as_of, self.freshness.reported_age_s(now)
+        )
 
     def _hot_changes(self) -> tuple[EndpointChange, ...]:
         changes = []
@@ -267,9 +281,9 @@
         """Tell peers that this node begins to read the store."""
         peers = self.alive(now)
         hosts = self.rng.sample(peers, min(READ_TOLD, len(peers)))
-        self.sender.send_reading(hosts, self.plain_hint(now))
+        self.sender.send_read_notice(hosts, self.plain_announcement(now))
 
-    def hear_reading(self, now: float) -> None:
+    def receive_read_notice(self, now: float) -> None:
         """Take it that a peer has begun to read the store."""
         self.freshness.await_peer(now)
 
@@ -281,9 +295,11 @@
         now : float
             Monotonic time.
         """
-        fresher_s = self.freshness.fresh_at - self._told_fresh_at
-        if (self._urgent or fresher_s >= FRESHER_S) and now - self._told_at >= TELL_S:
-            self._tell(now)
+        fresher_s = self.freshness.confirmed_at - self._announced_confirmed_at
+        if (
+            self._urgent or fresher_s >= FRESHER_S
+        ) and now - self._announced_at >= TELL_S:
+            self._announce(now)
         age_s = self.freshness.age_s(now)
         late = age_s > ASK_AGE * self.freshness.times.latest_read_s
         lapsed = self.endpoints.earliest_lapse is not None
@@ -291,12 +307,12 @@
             peers = self.alive(now)
             self._ask(self.rng.sample(peers, min(ASKED, len(peers))), now)
 
-    def _tell(self, now: float) -> None:
-        self._told_at = now
-        self._told_fresh_at = self.freshness.fresh_at
+    def _announce(self, now: float) -> None:
+        self._announced_at = now
+        self._announced_confirmed_at = self.freshness.confirmed_at
         peers = self.alive(now)
         hosts = self.rng.sample(peers, min(FANOUT, len(peers)))
-        self.sender.send_hint(hosts, self.hint(now))
+        self.sender.send_announcement(hosts, self.announcement(now))
         if self._urgent > 0:
             self._urgent -= 1
         if self._urgent > 0:
@@ -316,26 +332,30 @@
         lapse = self.endpoints.earliest_lapse
         if lapse is not None:
             since = min(since, lapse)
-        self.sender.send_question(hosts, Question(self._number, since))
+        self.sender.send_changes_request(hosts, ChangesRequest(self._number, since))
 
-    def hear_hint(self, host: str, hint: Hint, now: float) -> None:
+    def receive_announcement(
+        self, host: str, announcement: ListAnnouncement, now: float
+    ) -> None:
         """Take what a peer says unasked, and ask it if it knows more."""
-        if hint.changes:
-            self.endpoints.take_changes(hint.changes, host)
-        fresher_s = (now - hint.age_s) - self.freshness.fresh_at
+        if announcement.changes:
+            self.endpoints.apply_changes(announcement.changes, host)
+        fresher_s = (now - announcement.age_s) - self.freshness.confirmed_at
         if fresher_s >= FRESHER_S and now - self._asked_at >= TELL_S:
             self._ask([host], now)
 
-    def hear_question(self, host: str, question: Question, now: float) -> None:
+    def receive_changes_request(
+        self, host: str, request: ChangesRequest, now: float
+    ) -> None:
         """Answer a peer with what it lacks."""
-        self.sender.send_answer(host, self._answer(question, now))
+        self.sender.send_changes_reply(host, self._reply(request, now))
 
-    def _answer(self, question: Question, now: float) -> Answer:
+    def _reply(self, request: ChangesRequest, now: float) -> ChangesReply:
         as_of = self.freshness.as_of
-        changes = self.endpoints.since(question.since)
+        changes = self.endpoints.since(request.since)
         if changes is None:
-            return Answer(question.number, Offset(0), None, "", ())
-        age_s: float | None = self.freshness.told_age_s(now)
+            return ChangesReply(request.number, Offset(0), None, "", ())
+        age_s: float | None = self.freshness.reported_age_s(now)
         digest = self._exact_digest()
         room = MOST_BYTES
         fitting = []
@@ -345,36 +365,36 @@
                 as_of, age_s, digest = min(as_of, change.offset), None, ""
                 break
             fitting.append(change)
-        return Answer(question.number, as_of, age_s, digest, tuple(fitting))
+        return ChangesReply(request.number, as_of, age_s, digest, tuple(fitting))
 
     def _exact_digest(self) -> str:
         """Return what the list comes to, empty if it holds later records as well."""
         later = self.endpoints.since(self.freshness.as_of)
         return self.endpoints.digest if later == [] else ""
 
-    def hear_answer(self, host: str, answer: Answer, now: float) -> None:
+    def receive_changes_reply(self, host: str, reply: ChangesReply, now: float) -> None:
         """Take a peer's answer to a question of this node."""
-        asked_at = self._asked.get(answer.number)
+        asked_at = self._asked.get(reply.number)
         if asked_at is None:
             return
-        if answer.changes:
-            self.endpoints.take_changes(answer.changes, host)
-        if answer.age_s is None:
+        if reply.changes:
+            self.endpoints.apply_changes(reply.changes, host)
+        if reply.age_s is None:
             # More changes than a datagram holds, or older ones than the peer remembers.
-            self.freshness.as_of = max(self.freshness.as_of, answer.as_of)
+            self.freshness.as_of = max(self.freshness.as_of, reply.as_of)
             self.freshness.behind = True
             return
-        self.freshness.confirm(asked_at - answer.age_s, answer.as_of, f"peer {host}")
-        self._compare(host, answer)
+        self.freshness.confirm(asked_at - reply.age_s, reply.as_of, f"peer {host}")
+        self._compare(host, reply)
 
-    def _compare(self, host: str, answer: Answer) -> None:
+    def _compare(self, host: str, reply: ChangesReply) -> None:
         """Read everything again if a peer with the same records has another list."""
-        if not answer.digest or answer.as_of != self.freshness.as_of:
+        if not reply.digest or reply.as_of != self.freshness.as_of:
             return
         own = self._exact_digest()
-        if own and own != answer.digest:
+        if own and own != reply.digest:
             _LOG.error(
                 "lists differ",
-                extra={"peer": host, "as_of": answer.as_of, "digest": own},
+                extra={"peer": host, "as_of": reply.as_of, "digest": own},
             )
-            self.start_over()
+            self.resync()
--- a/poplarrelay/entry/freshness.py
+++ b/poplarrelay/entry/list_freshness.py
@@ -66,7 +66,7 @@
         Time that the first read, and its first repetition, wait for an answer.
     pause_s : float
         Pause after a read without an answer.
-    vouched_s : float
+    max_list_age_s : float
         Age up to which a list, with a request's way added, keeps the bound.
     outage_s : float
         Age from which the store may have been away long enough for records to lapse.
@@ -77,7 +77,7 @@
     latest_read_s: float
     answer_s: float
     pause_s: float
-    vouched_s: float
+    max_list_age_s: float
     outage_s: float
 
     @classmethod
@@ -90,7 +90,7 @@
             latest_read_s=LATEST_READ * bound_s,
             answer_s=ANSWER * bound_s,
             pause_s=PAUSE * bound_s,
-            vouched_s=(1 - SENDING) * bound_s,
+            max_list_age_s=(1 - SENDING) * bound_s,
             outage_s=OUTAGE_HEARTBEATS * bounds.endpoint_heartbeat_ms / 1000,
         )
 
@@ -127,7 +127,7 @@
     ----------
     as_of : Offset
         This node knows every record of the endpoints' topic before this offset.
-    fresh_at : float
+    confirmed_at : float
         Monotonic time of this node at which that was all that the topic held.
     source : str
         Who showed that: the store, or a peer.
@@ -150,7 +150,7 @@
 
     Notes
     -----
-    `fresh_at` is always the time at which this node *asked*, less the age that the
+    `confirmed_at` is always the time at which this node *asked*, less the age that the
     answer states: whatever the question or the answer waited for on its way, the
     store or the peer answered later than that. An age counted back from the arrival of
     news left out the time that it lay in a busy link or process; nodes took lists for
@@ -161,7 +161,7 @@
     rng: Random
     times: ListTimes
     as_of: Offset = _START
-    fresh_at: float = float("-inf")
+    confirmed_at: float = float("-inf")
     source: str = ""
     read_at: float = float("-inf")
     behind: bool = False
@@ -174,9 +174,9 @@
 
     def age_s(self, now: float) -> float:
         """Return the time since the list was known to be the store's."""
-        return now - self.fresh_at
+        return now - self.confirmed_at
 
-    def told_age_s(self, now: float) -> float:
+    def reported_age_s(self, now: float) -> float:
         """Return the age as it is told to logs and peers: finite, `NEVER_S` at most."""
         return min(self.age_s(now), NEVER_S)
 
@@ -185,9 +185,9 @@
         confirmed = self.age_s(now) <= self.times.outage_s
         return confirmed and now - self.steady_since > STEADY_S
 
-    def vouched(self, now: float) -> bool:
+    def within_bound(self, now: float) -> bool:
         """Return whether a request sent now keeps the bound on leaving endpoints."""
-        return self.age_s(now) <= self.times.vouched_s
+        return self.age_s(now) <= self.times.max_list_age_s
 
     def note_read(self, sent_at: float, as_of: Offset) -> None:
         """Note that this node's own read was answered with all that there was."""
@@ -208,11 +208,11 @@
             Who showed it.
         """
         self.as_of = max(self.as_of, as_of)
-        if at <= self.fresh_at or at < self.trusted_from:
+        if at <= self.confirmed_at or at < self.trusted_from:
             return
-        if at - self.fresh_at > self.times.outage_s:
+        if at - self.confirmed_at > self.times.outage_s:
             self.steady_since = at
-        self.fresh_at = at
+        self.confirmed_at = at
         self.source = source
         self.read_after_s = draw_read_age(self.times, self.nodes, self.rng)
         if self.on_confirm is not None:
@@ -220,9 +220,9 @@
 
     def due_in_s(self, now: float) -> float:
         """Return the time until this node reads the store itself."""
-        due_at = self.fresh_at + self.read_after_s
+        due_at = self.confirmed_at + self.read_after_s
         if self.peer_reads_until > due_at:
-            latest_at = self.fresh_at + self.times.latest_read_s
+            latest_at = self.confirmed_at + self.times.latest_read_s
             due_at = max(due_at, min(self.peer_reads_until, latest_at))
         if self.behind:
             due_at = min(due_at, self.read_at + SHORTEST_READ_S)
@@ -240,7 +240,7 @@
         wait_s = self.times.answer_s * self.rng.uniform(*PEER_WAIT)
         self.peer_reads_until = now + wait_s
 
-    def distrust(self, since: float = float("-inf")) -> None:
+    def invalidate(self, since: float = float("-inf")) -> None:
         """Take the list for old, as after a freeze.
 
         Parameters
@@ -250,5 +250,5 @@
             That clock may have stood still in a freeze, and an answer that lay here
             meanwhile would seem as young as when it came.
         """
-        self.fresh_at = float("-inf")
+        self.confirmed_at = float("-inf")
         self.trusted_from = since
--- a/poplarrelay/entry/serving.py
+++ b/poplarrelay/entry/node_handlers.py
@@ -8,20 +8,20 @@
 
 import orjson
 
+from poplarrelay.entry.endpoint_list import EndpointList
 from poplarrelay.entry.http.listener import Exchange, IncomingRequest
-from poplarrelay.entry.listing import EndpointList
 from poplarrelay.entry.metrics import EntryMetrics
+from poplarrelay.entry.peer_sync import STATE_PATH, encode_state
 from poplarrelay.entry.peers import choose_addresses
 from poplarrelay.entry.settings import parse_address
 from poplarrelay.entry.state import EntryState
-from poplarrelay.entry.syncing import STATE_PATH, encode_state
 from poplarrelay.platform.discovery import (
     READINESS_PATH,
     RESOLVE_PATH,
     encode_addresses,
 )
 
-__all__ = ["METRICS_PATH", "NodeAnswers"]
+__all__ = ["METRICS_PATH", "NodeHandlers"]
 
 #: Where metrics are served, on the control address and on one of their own.
 METRICS_PATH = "/metrics"
@@ -30,7 +30,7 @@
 ADDRESS_TTL_S = 2.5
 
 
-class NodeAnswers:
+class NodeHandlers:
     """Handlers of the listeners for the platform, peers and operators.
 
     Parameters
@@ -113,8 +113,8 @@
             "state": state.me.state.value,
             "configuration": state.me.configuration,
             "endpoints_as_of": state.freshness.as_of,
-            "endpoints_age_s": round(state.freshness.told_age_s(now), 2),
-            "endpoints_vouched": state.freshness.vouched(now),
+            "endpoints_age_s": round(state.freshness.reported_age_s(now), 2),
+            "endpoints_vouched": state.freshness.within_bound(now),
             "endpoints_source": state.freshness.source,
             "endpoints_unreadable": self._endpoints.unreadable,
             "peers": {
@@ -155,7 +155,7 @@
             "ready": float(state.ready),
             "peers_alive": float(len(state.peers.alive(monotonic()))),
             "endpoints": float(len(state.endpoints.rows)),
-            "endpoints_age_s": state.freshness.told_age_s(monotonic()),
+            "endpoints_age_s": state.freshness.reported_age_s(monotonic()),
             "endpoints_unreadable": float(len(self._endpoints.unreadable)),
             "configuration_version": float(state.me.configuration),
             "crashes_noted": float(state.crashes.noted),
--- a/poplarrelay/entry/syncing.py
+++ b/poplarrelay/entry/peer_sync.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-from poplarrelay.entry.following import apply_configuration
+from poplarrelay.entry.configuration_follower import apply_configuration
+from poplarrelay.entry.endpoint_list import EndpointChange, EndpointList
 from poplarrelay.entry.http.pool import JsonClient
-from poplarrelay.entry.listing import EndpointChange, EndpointList
 from poplarrelay.entry.state import EntryState
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.identifiers import EndpointId, Offset
@@ -47,7 +47,7 @@
         The peer's configuration; it is sent only if it is older.
     """
     value: dict[str, Any] = {
-        "endpoints_age_s": state.freshness.told_age_s(monotonic()),
+        "endpoints_age_s": state.freshness.reported_age_s(monotonic()),
         "endpoints_as_of": state.freshness.as_of,
         "endpoints": [
             [
@@ -135,7 +135,7 @@
     ) -> None:
         self.endpoints_read_at = monotonic()
         listed_at = asked_at - value["endpoints_age_s"]
-        if listed_at <= self.state.freshness.fresh_at:
+        if listed_at <= self.state.freshness.confirmed_at:
             return
         as_of = Offset(value["endpoints_as_of"])
         changes = [
@@ -144,7 +144,7 @@
             )
             for endpoint, offset, content in value["endpoints"]
         ]
-        self.endpoints.take_all(changes, as_of, peer)
+        self.endpoints.replace_all(changes, as_of, peer)
         if as_of > 0:
             self.state.endpoints_known = True
         self.state.freshness.confirm(listed_at, as_of, f"peer {peer}")
--- a/poplarrelay/entry/peers.py
+++ b/poplarrelay/entry/peers.py
@@ -15,7 +15,7 @@
     summarise,
 )
 from poplarrelay.entry.metering import WindowNumber
-from poplarrelay.entry.rows import NodeState, PeerRow
+from poplarrelay.entry.peer_rows import NodeState, PeerRow
 from poplarrelay.identifiers import Incarnation, NodeId, TeamId
 
 __all__ = ["PeerTable", "SeenPeer", "SeenSummary", "choose_addresses"]
@@ -27,12 +27,12 @@
 #: is taken for dead: news passed on at random misses one node in a thousand so long.
 ASK_S = 0.8
 #: Seconds without news of a cell after which all of its nodes are taken for dead. A
-#: speaker that ends is followed after `SPEAKER_SILENCE_S`, and what the next one says
-#: needs up to another second on its way.
+#: speaker that ends is followed after `REPRESENTATIVE_SILENCE_S`, and what the next one
+#: says needs up to another second on its way.
 CELL_SILENCE_S = 2.8
 #: Seconds without news after which a speaker's place is taken: two and a half rounds.
 #: Two that speak at once cost some datagrams; nobody, the sight of a whole cell.
-SPEAKER_SILENCE_S = 1.0
+REPRESENTATIVE_SILENCE_S = 1.0
 #: Seconds after which a silent node's row is forgotten. Until then its counts are
 #: still added up, and it is still told news in case it is only cut off.
 FORGET_S = 25.0
@@ -46,16 +46,16 @@
 
     Attributes
     ----------
-    heard_at : float
+    last_seen_at : float
         Monotonic time at which the newest row arrived.
     """
 
     row: PeerRow
-    heard_at: float
+    last_seen_at: float
 
     def alive(self, now: float) -> bool:
         """Return whether the node has been heard lately."""
-        silent = now - self.heard_at > SILENCE_S
+        silent = now - self.last_seen_at > SILENCE_S
         return not silent and self.row.state is not NodeState.STOPPED
 
 
@@ -64,11 +64,11 @@
     """A cell's newest summary and the monotonic time at which it came."""
 
     summary: CellSummary
-    heard_at: float
+    last_seen_at: float
 
     def fresh(self, now: float) -> bool:
         """Return whether the cell has been heard lately."""
-        return now - self.heard_at <= CELL_SILENCE_S
+        return now - self.last_seen_at <= CELL_SILENCE_S
 
 
 @dataclass(slots=True)
@@ -131,7 +131,7 @@
         """Return whether a summary would be news, before it is decoded."""
         return version > self._versions.get(Incarnation(incarnation), -1)
 
-    def hear(self, row: PeerRow, now: float) -> bool:
+    def receive(self, row: PeerRow, now: float) -> bool:
         """Take a row and return whether it is news; only of this node's cell."""
         if row.node == self.me.node or not self.in_cell(row.node):
             return False
@@ -147,7 +147,7 @@
         self.seen[row.node] = SeenPeer(row, now)
         return True
 
-    def hear_summary(self, summary: CellSummary, now: float) -> bool:
+    def receive_summary(self, summary: CellSummary, now: float) -> bool:
         """Take a summary and return whether it is news.
 
         Notes
@@ -164,8 +164,8 @@
             return False
         known = self.summaries.get(summary.cell)
         if known is not None and known.summary.incarnation != summary.incarnation:
-            goes_first = summary.speaker <= known.summary.speaker
-            if not goes_first and now - known.heard_at <= SPEAKER_SILENCE_S:
+            goes_first = summary.representative <= known.summary.representative
+            if not goes_first and now - known.last_seen_at <= REPRESENTATIVE_SILENCE_S:
                 return False
         self.summaries[summary.cell] = SeenSummary(summary, now)
         return True
@@ -179,16 +179,16 @@
 
     def forget(self, now: float) -> None:
         """Drop the rows of nodes that have been silent for long."""
-        silent = [n for n, s in self.seen.items() if now - s.heard_at > FORGET_S]
+        silent = [n for n, s in self.seen.items() if now - s.last_seen_at > FORGET_S]
         for node in silent:
             del self.seen[node]
-        kept = [s for s in self.replaced if now - s.heard_at <= FORGET_S]
+        kept = [s for s in self.replaced if now - s.last_seen_at <= FORGET_S]
         if silent or len(kept) < len(self.replaced):
             self._epoch += 1
         self.replaced = kept
         for cell, old in list(self.summaries.items()):
             limit_s = FORGET_S if cell.bits == self.bits else CELL_SILENCE_S
-            if now - old.heard_at > limit_s:
+            if now - old.last_seen_at > limit_s:
                 del self.summaries[cell]
         if len(self._versions) > 4 * (len(self.summaries) + 4):
             current = {s.summary.incarnation for s in self.summaries.values()}
@@ -196,7 +196,7 @@
                 run: n for run, n in self._versions.items() if run in current
             }
 
-    def thaw(self, frozen_s: float) -> None:
+    def resume_after_freeze(self, frozen_s: float) -> None:
         """Give the others time to be heard after this node was frozen.
 
         Notes
@@ -205,9 +205,9 @@
         to callers.
         """
         for peer in self.seen.values():
-            peer.heard_at += frozen_s
+            peer.last_seen_at += frozen_s
         for cell in self.summaries.values():
-            cell.heard_at += frozen_s
+            cell.last_seen_at += frozen_s
 
     def regroup(self, nodes: int, now: float) -> bool:
         """Divide the nodes anew if their number asks for it, and return whether so.
@@ -244,7 +244,9 @@
         listed = [row for row in rows if cell_of(row.node, cell.bits) == cell]
         summary = summarise(cell, listed[0], listed, (), version=0, epoch=0)
         # So old that whatever the cell's speaker says replaces it.
-        self.summaries[cell] = SeenSummary(summary, now - SPEAKER_SILENCE_S - 0.01)
+        self.summaries[cell] = SeenSummary(
+            summary, now - REPRESENTATIVE_SILENCE_S - 0.01
+        )
 
     # asking
 
@@ -260,9 +262,9 @@
         late = [
             seen
             for seen in self.seen.values()
-            if now - seen.heard_at > ASK_S and seen.alive(now)
+            if now - seen.last_seen_at > ASK_S and seen.alive(now)
         ]
-        return [seen.row.host for seen in sorted(late, key=lambda s: s.heard_at)]
+        return [seen.row.host for seen in sorted(late, key=lambda s: s.last_seen_at)]
 
     def alive(self, now: float) -> list[PeerRow | Member]:
         """Return all nodes that have been heard lately, of this cell or told of."""
@@ -335,20 +337,20 @@
 
     # speaking
 
-    def speaks(self, now: float) -> bool:
+    def is_representative(self, now: float) -> bool:
         """Return whether this node is the one that speaks for its cell."""
         if self.bits == 0:
             return False
         return not any(
             node < self.me.node
-            and now - seen.heard_at <= SPEAKER_SILENCE_S
+            and now - seen.last_seen_at <= REPRESENTATIVE_SILENCE_S
             and seen.row.state is not NodeState.STOPPED
             for node, seen in self.seen.items()
         )
 
     def own_summary(self, now: float) -> CellSummary:
         """Return what this node's cell comes to."""
-        others = [s for s in self.seen.values() if now - s.heard_at <= SILENCE_S]
+        others = [s for s in self.seen.values() if now - s.last_seen_at <= SILENCE_S]
         left = [
             seen
             for seen in self.seen.values()
--- a/poplarrelay/entry/permits.py
+++ b/poplarrelay/entry/permits.py
@@ -15,10 +15,10 @@
 from math import inf
 from typing import Any, Protocol
 
+from poplarrelay.entry.backlog_client import choose_coordinator
 from poplarrelay.entry.configuration import ServiceName
 from poplarrelay.entry.endpoints import Endpoint
 from poplarrelay.entry.rate_limits import StatedLimit, apply_stated_limit, set_limit
-from poplarrelay.entry.surveying import choose_keeper
 from poplarrelay.identifiers import EndpointId, NodeId, StartTime
 
 __all__ = ["PROBE_PER_S", "Permit", "PermitBroker", "PermitIssuer", "PermitSender"]
@@ -192,7 +192,7 @@
 
     def _ask(self, row: Endpoint, per_s: float, now: float) -> None:
         nodes = self.nodes()
-        host = nodes[choose_keeper(row.endpoint, nodes)]
+        host = nodes[choose_coordinator(row.endpoint, nodes)]
         asked, unanswered = self._unanswered.get(row.endpoint, (host, 0))
         if asked != host:
             unanswered = 0
@@ -214,7 +214,7 @@
         if permit.granted:
             row.permits.append(now + PERMIT_VALID_S)
 
-    def hear(self, host: str, messages: Sequence[list[Any]]) -> None:
+    def receive(self, host: str, messages: Sequence[list[Any]]) -> None:
         """Handle messages from a peer.
 
         Raises
@@ -224,11 +224,11 @@
         """
         for kind, *rest in messages:
             if kind == LIMIT:
-                self._hear_limit(host, *rest)
+                self._receive_limit(host, *rest)
             elif kind == QUESTION:
-                self._hear_question(host, *rest)
+                self._receive_question(host, *rest)
             elif kind == ANSWER:
-                self._hear_answer(*rest)
+                self._receive_answer(*rest)
             else:
                 raise ValueError(f"unknown message kind: {kind!r}")
 
@@ -236,7 +236,7 @@
         row = self.rows.get(EndpointId(str(endpoint)))
         return row if row is not None and row.started_ms == run else None
 
-    def _hear_limit(
+    def _receive_limit(
         self, host: str, endpoint: str, run: int | None, per_s: Any, age_s: float
     ) -> None:
         as_of = self.monotonic() - max(0.0, float(age_s))
@@ -245,7 +245,7 @@
         if row is not None and as_of > row.limit_as_of:
             set_limit(row, limit, as_of, f"peer {host}")
 
-    def _hear_question(
+    def _receive_question(
         self, host: str, endpoint: str, run: int | None, per_s: float
     ) -> None:
         now = self.monotonic()
@@ -264,7 +264,7 @@
         answer = [ANSWER, endpoint, run, wait_s]
         self.sender.send_permits([host], [answer])
 
-    def _hear_answer(self, endpoint: str, run: int | None, wait_s: float) -> None:
+    def _receive_answer(self, endpoint: str, run: int | None, wait_s: float) -> None:
         row = self._find_row(endpoint, run)
         permit = Permit(max(0.0, float(wait_s)))
         if row is None:
--- a/poplarrelay/entry/process.py
+++ b/poplarrelay/entry/process.py
@@ -13,34 +13,34 @@
 from random import Random
 from time import monotonic
 
+from poplarrelay.entry.backlog_client import BacklogClient
 from poplarrelay.entry.cells import CellSummary
 from poplarrelay.entry.clock import FreezeDetector
 from poplarrelay.entry.configuration import CallerLimits
-from poplarrelay.entry.directory import HostDirectory
-from poplarrelay.entry.dutying import DutyRunner
-from poplarrelay.entry.exchange import TELL_S, ListExchange
-from poplarrelay.entry.following import (
+from poplarrelay.entry.configuration_follower import (
+    ConfigurationApplier,
     ConfigurationFollower,
-    ConfigurationView,
     Dependency,
 )
+from poplarrelay.entry.duty_worker import DutyWorker
+from poplarrelay.entry.endpoint_list import EndpointList
+from poplarrelay.entry.endpoint_reader import EndpointReader
 from poplarrelay.entry.gossip import Gossip
+from poplarrelay.entry.host_directory import HostDirectory
 from poplarrelay.entry.http.listener import Handler, Listener
 from poplarrelay.entry.http.pool import ConnectionPool
-from poplarrelay.entry.listing import EndpointList
+from poplarrelay.entry.list_exchange import TELL_S, ListExchange
 from poplarrelay.entry.metrics import EntryMetrics
+from poplarrelay.entry.node_handlers import NodeHandlers
+from poplarrelay.entry.peer_rows import NodeState, PeerRow, reporter_of
+from poplarrelay.entry.peer_sync import PeerSync
 from poplarrelay.entry.permits import PermitBroker
-from poplarrelay.entry.reading import EndpointReader
 from poplarrelay.entry.relaying import Relay
-from poplarrelay.entry.rows import NodeState, PeerRow, reporter_of
-from poplarrelay.entry.serving import NodeAnswers
 from poplarrelay.entry.settings import EntrySettings, parse_address
 from poplarrelay.entry.state import EntryState
-from poplarrelay.entry.surveying import BacklogSurvey
-from poplarrelay.entry.syncing import PeerSync
 from poplarrelay.exception import SettingsError
 from poplarrelay.identifiers import EndpointId, Incarnation
-from poplarrelay.platform.cloud import CloudApi
+from poplarrelay.platform.cloud import CloudClient
 from poplarrelay.platform.store import Store
 
 __all__ = ["EntryNode"]
@@ -113,14 +113,14 @@
             self._rng,
             self._on_summary,
         )
-        self._survey = BacklogSurvey(
-            self._state.me.host, self._state.keepers, self._gossip, monotonic
+        self._backlog_client = BacklogClient(
+            self._state.me.host, self._state.coordinators, self._gossip, monotonic
         )
         self._permits = PermitBroker(
             self._state.me.host,
             self._state.endpoints.rows,
-            self._state.keepers,
-            self._state.heard_shares,
+            self._state.coordinators,
+            self._state.reachable_fractions,
             self._gossip,
             monotonic,
         )
@@ -129,7 +129,7 @@
             self._pool,
             self._metrics.observe,
             self._announce,
-            self._survey,
+            self._backlog_client,
             self._permits,
         )
         self._endpoints = EndpointList(
@@ -142,7 +142,7 @@
         self._follower = ConfigurationFollower(
             self._store,
             self._configuration_read,
-            ConfigurationView(self._state, self._on_change),
+            ConfigurationApplier(self._state, self._on_change),
             CONFIGURATION_WAIT_S,
             self._rng,
         )
@@ -159,21 +159,21 @@
             self._state.freshness,
             self._gossip,
             self._alive_hosts,
-            self._reader.start_over,
+            self._reader.resync,
             self._wake_exchange,
             self._rng,
         )
-        self._gossip.carry(self._exchange, self._survey)
-        self._gossip.carry_crashes(self._state.crashes)
-        self._gossip.carry_permits(self._permits)
+        self._gossip.attach_list_exchange(self._exchange, self._backlog_client)
+        self._gossip.attach_crashes(self._state.crashes)
+        self._gossip.attach_permits(self._permits)
         self._state.freshness.on_confirm = self._exchange.note_confirmed
-        self._vouched = True
+        self._within_bound = True
         self._directory = HostDirectory(self._state, self._store)
-        self._cloud: CloudApi | None = None
-        self._duties: DutyRunner | None = None
+        self._cloud: CloudClient | None = None
+        self._duties: DutyWorker | None = None
         if settings.platform.cloud is not None:
-            self._cloud = CloudApi(parse_address(settings.platform.cloud))
-            self._duties = DutyRunner(self._state, self._store, self._cloud)
+            self._cloud = CloudClient(parse_address(settings.platform.cloud))
+            self._duties = DutyWorker(self._state, self._store, self._cloud)
         self._freezes = FreezeDetector(FROZEN_S)
         self._stopping_at: float | None = None
         self._next_gossip_at = 0.0
@@ -211,13 +211,13 @@
         return self._gossip
 
     @property
-    def duties(self) -> DutyRunner:
+    def duties(self) -> DutyWorker:
         """Return what does the duties; only on platforms that have any."""
         assert self._duties is not None
         return self._duties
 
     def _make_listeners(self) -> dict[str, Listener]:
-        answers = NodeAnswers(
+        node_handlers = NodeHandlers(
             self._state,
             self._endpoints,
             self._metrics,
@@ -226,9 +226,9 @@
         listeners = self._settings.listeners
         handlers: dict[str, tuple[str, Handler]] = {
             "callers": (listeners.callers, self._relay.handle),
-            "readiness": (listeners.readiness, answers.readiness),
-            "discovery": (listeners.discovery, answers.discovery),
-            "control": (listeners.control, answers.control),
+            "readiness": (listeners.readiness, node_handlers.readiness),
+            "discovery": (listeners.discovery, node_handlers.discovery),
+            "control": (listeners.control, node_handlers.control),
         }
         made = {}
         for name, (address, handler) in handlers.items():
@@ -236,7 +236,7 @@
             made[name] = Listener(host, port, handler, self._limits)
         if listeners.metrics is not None:
             host, port = parse_address(listeners.metrics)
-            made["metrics"] = Listener(host, port, answers.metrics, self._limits)
+            made["metrics"] = Listener(host, port, node_handlers.metrics, self._limits)
         return made
 
     def _limits(self) -> CallerLimits:
@@ -394,7 +394,7 @@
             if getattr(settings, name) != getattr(self._settings, name)
         ]
         self._settings = settings
-        self._state.take_settings(settings)
+        self._state.apply_settings(settings)
         _LOG.info("settings reloaded", extra={"changed": changed})
 
     async def _watch_settings(self) -> None:
@@ -435,7 +435,7 @@
         now = monotonic()
         frozen_s = self._freezes.check()
         if frozen_s > 0:
-            self.thaw(frozen_s)
+            self.resume_after_freeze(frozen_s)
         state = self._state
         if (
             state.me.state is NodeState.STARTING
@@ -447,7 +447,7 @@
             self._tell_all()
         self._endpoints.expire(now)
         self._exchange.tick(now)
-        self._log_vouched(now)
+        self._log_within_bound(now)
         if now >= self._next_status_at:
             self._next_status_at = now + STATUS_S
             self._log_status(now)
@@ -455,22 +455,22 @@
             self._next_gossip_at = now + GOSSIP_S * (0.9 + 0.2 * self._rng.random())
             self._run_gossip(now)
         elif state.crashes.urgent:
-            self._gossip.tell_crashes()
+            self._gossip.send_crashes()
         if state.configuration is not None:
             for service in state.configuration.services:
-                self._relay.places.serve_waiting(service)
+                self._relay.slot_allocator.dispatch_queued(service)
 
-    def thaw(self, frozen_s: float) -> None:
+    def resume_after_freeze(self, frozen_s: float) -> None:
         """Distrust what was known before the process stood still."""
         _LOG.warning("frozen", extra={"for_s": round(frozen_s, 2)})
-        self._state.peers.thaw(frozen_s)
-        self._state.freshness.distrust(monotonic())
+        self._state.peers.resume_after_freeze(frozen_s)
+        self._state.freshness.invalidate(monotonic())
         if self._duties is not None:
-            self._duties.lease.give_up()
-        self._follower.start_over()
-        self._reader.start_over()
+            self._duties.lease.relinquish()
+        self._follower.resync()
+        self._reader.resync()
 
-    def _log_vouched(self, now: float) -> None:
+    def _log_within_bound(self, now: float) -> None:
         """Tell the log when this node can no longer vouch for its list, or can again.
 
         Notes
@@ -479,13 +479,13 @@
         and serves on with the others: an old list is better than no answer.
         """
         freshness = self._state.freshness
-        vouched = freshness.vouched(now) or not self._state.endpoints_known
-        if vouched == self._vouched:
+        within_bound = freshness.within_bound(now) or not self._state.endpoints_known
+        if within_bound == self._within_bound:
             return
-        self._vouched = vouched
-        age_s = round(freshness.told_age_s(now), 2)
+        self._within_bound = within_bound
+        age_s = round(freshness.reported_age_s(now), 2)
         extra = {"list_age_s": age_s, "bound_s": freshness.times.bound_s}
-        if vouched:
+        if within_bound:
             _LOG.info("endpoints vouched for", extra=extra)
         else:
             _LOG.warning("endpoints not vouched for", extra=extra)
@@ -493,8 +493,8 @@
     def _log_status(self, now: float) -> None:
         """Tell the log what this node knows of the others, and what it has spent."""
         peers = self._state.peers
-        ages = [now - seen.heard_at for seen in peers.seen.values()]
-        told = [now - seen.heard_at for seen in peers.summaries.values()]
+        ages = [now - seen.last_seen_at for seen in peers.seen.values()]
+        told = [now - seen.last_seen_at for seen in peers.summaries.values()]
         usage = resource.getrusage(resource.RUSAGE_SELF)
         _LOG.info(
             "status",
@@ -539,7 +539,7 @@
         self._endpoints.forget(now)
         state.crashes.forget(now)
         state.sum_loads(now)
-        self._survey.refresh(list(state.endpoints.rows))
+        self._backlog_client.refresh(list(state.endpoints.rows))
         self._permits.refresh()
         alive = state.count_nodes(now)
         state.freshness.nodes = alive
@@ -580,7 +580,7 @@
     def _announce_now(self) -> None:
         self._announcement = None
         self._refresh_own_row()
-        self._gossip.tell_use()
+        self._gossip.broadcast_row()
 
     def _on_summary(self, summary: CellSummary) -> None:
         """Charge the teams' buckets with what the nodes of another cell have used."""
@@ -594,7 +594,7 @@
             team = configuration.teams.get(name)
             bucket = None if team is None else state.bucket(team, now)
             if bucket is not None:
-                bucket.hear_cell(cell, run, spent, nodes, now)
+                bucket.record_cell_usage(cell, run, spent, nodes, now)
 
     def _on_news(self, row: PeerRow) -> None:
         now = monotonic()
@@ -611,13 +611,13 @@
                 # A process that started before this one may have used its part
                 # long ago; what a younger one has used is all in this bucket's time.
                 older = row.incarnation < self._state.me.incarnation
-                bucket.hear(reporter, spent, spent if older else 0.0, now)
+                bucket.receive(reporter, spent, spent if older else 0.0, now)
 
     def _on_change(self) -> None:
         if self._state.configuration is None:
             return
         for service in self._state.configuration.services:
-            self._relay.places.serve_waiting(service)
+            self._relay.slot_allocator.dispatch_queued(service)
 
     def _gauges(self) -> dict[str, float]:
         """Return what only the process can tell of itself."""
--- a/poplarrelay/entry/quotas.py
+++ b/poplarrelay/entry/quotas.py
@@ -8,7 +8,7 @@
 from poplarrelay.entry.configuration import Quota
 from poplarrelay.entry.requests import CallerRequest
 
-__all__ = ["Bucket", "OverQuota", "RemoteUse", "cost_of", "loosened"]
+__all__ = ["Bucket", "OverQuota", "RemoteUse", "raise_refill", "request_cost"]
 
 #: Seconds of its part of the refill that a restarted node finds in its bucket. Its
 #: predecessor may have spent the burst a moment ago.
@@ -27,21 +27,21 @@
 PACE_WEIGHT = 0.5
 
 
-def cost_of(quota: Quota, request: CallerRequest) -> float:
+def request_cost(quota: Quota, request: CallerRequest) -> float:
     """Return what a request takes from its team's quota."""
     if not quota.in_tokens:
         return 1.0
-    if request.prompt_tokens is None or request.most_output_tokens is None:
+    if request.prompt_tokens is None or request.max_output_tokens is None:
         return quota.default_cost
-    return float(request.prompt_tokens + request.most_output_tokens)
+    return float(request.prompt_tokens + request.max_output_tokens)
 
 
-def loosened(quota: Quota, share: float) -> Quota:
+def raise_refill(quota: Quota, share: float) -> Quota:
     """Return a quota whose refill is faster by a share.
 
     Examples
     --------
-    >>> loosened(Quota(100.0, 50.0, True, 1.0), 0.05).per_s
+    >>> raise_refill(Quota(100.0, 50.0, True, 1.0), 0.05).per_s
     105.0
     """
     return replace(quota, per_s=quota.per_s * (1 + share))
@@ -62,7 +62,7 @@
     ----------
     total : float
         Sum since that node's process started.
-    heard_at : float
+    last_seen_at : float
         Monotonic time of the last report.
     refilled_to : float
         Time up to which that node's part of the refill is in this bucket.
@@ -77,7 +77,7 @@
     """
 
     total: float
-    heard_at: float
+    last_seen_at: float
     refilled_to: float
     pace: float = 0.0
     weight: int = 1
@@ -86,7 +86,7 @@
 
     def cut_off(self, now: float) -> bool:
         """Return whether it has not been heard for too long."""
-        return now - self.heard_at > self.cut_off_s
+        return now - self.last_seen_at > self.cut_off_s
 
 
 @dataclass(slots=True)
@@ -152,13 +152,13 @@
         due_s = max(0.0, now - self.refilled_to)
         self.refilled_to = max(self.refilled_to, now)
         for remote in self.remotes.values():
-            until = min(now, remote.heard_at + REPORT_LAG_S)
+            until = min(now, remote.last_seen_at + REPORT_LAG_S)
             due_s += remote.weight * max(0.0, until - remote.refilled_to)
             remote.refilled_to = max(remote.refilled_to, until)
         self.level += due_s * quota.per_s / nodes
-        self.level = min(self.level, quota.burst * self.heard_share(now, nodes))
+        self.level = min(self.level, quota.burst * self.reachable_fraction(now, nodes))
 
-    def heard_share(self, now: float, nodes: int) -> float:
+    def reachable_fraction(self, now: float, nodes: int) -> float:
         """Return the part of all nodes that this node hears, itself included."""
         heard = sum(r.weight for r in self.remotes.values() if not r.cut_off(now))
         return (1 + heard) / max(nodes, self._known_nodes)
@@ -173,7 +173,7 @@
         guess = 0.0
         for remote in self.remotes.values():
             if not remote.cut_off(now):
-                guess += remote.pace * max(0.0, now - remote.heard_at)
+                guess += remote.pace * max(0.0, now - remote.last_seen_at)
         return guess
 
     def tight(self, quota: Quota) -> bool:
@@ -211,7 +211,7 @@
         leaves a debt; otherwise it could never run.
         """
         self.refill(quota, now, nodes)
-        share = self.heard_share(now, nodes)
+        share = self.reachable_fraction(now, nodes)
         left = self.level - self.guessed(now) + share * tolerance
         needed = min(cost, quota.burst * share)
         if left < needed:
@@ -225,7 +225,7 @@
         self.level += cost
         self.spent -= cost
 
-    def hear(self, reporter: str, total: float, baseline: float, now: float) -> None:
+    def receive(self, reporter: str, total: float, baseline: float, now: float) -> None:
         """Take another node's report of what it has used.
 
         Parameters
@@ -245,7 +245,7 @@
             self.remotes[reporter] = remote
         self._charge(remote, total, now)
 
-    def hear_cell(
+    def record_cell_usage(
         self, cell: str, run: str, total: float, weight: int, now: float
     ) -> None:
         """Take what all nodes of another cell have used.
@@ -275,7 +275,7 @@
             remote = RemoteUse(total, now, now, cut_off_s=CELL_CUT_OFF_S)
             self.remotes[cell] = remote
         elif remote.run != run:
-            silence_s = min(now - remote.heard_at, remote.cut_off_s)
+            silence_s = min(now - remote.last_seen_at, remote.cut_off_s)
             remote.total = total - remote.pace * silence_s
         remote.run = run
         remote.weight = weight
@@ -284,11 +284,11 @@
     def _charge(self, remote: RemoteUse, total: float, now: float) -> None:
         """Subtract what a remote has used since its last report."""
         used = total - remote.total
-        elapsed = max(0.05, now - remote.heard_at)
+        elapsed = max(0.05, now - remote.last_seen_at)
         remote.total = total
         self.level -= used
         remote.pace += PACE_WEIGHT * (max(0.0, used) / elapsed - remote.pace)
-        remote.heard_at = now
+        remote.last_seen_at = now
 
     def forget(self, known: Collection[str]) -> None:
         """Drop the reports of processes that are not known any more."""
--- a/poplarrelay/entry/relaying.py
+++ b/poplarrelay/entry/relaying.py
@@ -8,18 +8,17 @@
 from http import HTTPStatus
 from time import monotonic
 
-from poplarrelay.entry.answering import Answers
 from poplarrelay.entry.attempts import Attempt, AttemptPlan, StreamProgress
+from poplarrelay.entry.backlog_client import BacklogClient
 from poplarrelay.entry.backlogs import Placement, PromptEnd
-from poplarrelay.entry.case import Case
-from poplarrelay.entry.charging import Charges
+from poplarrelay.entry.charging import QuotaCharges
 from poplarrelay.entry.choosing import Choice
 from poplarrelay.entry.configuration import (
     Configuration,
     Route,
     RouteKind,
 )
-from poplarrelay.entry.crashes import run_of
+from poplarrelay.entry.crashes import endpoint_run
 from poplarrelay.entry.endpoints import Endpoint
 from poplarrelay.entry.health import note_failure, note_success, note_success_time
 from poplarrelay.entry.http.listener import Exchange, IncomingRequest
@@ -35,12 +34,13 @@
     Streamed,
 )
 from poplarrelay.entry.permits import PermitBroker
-from poplarrelay.entry.places import NO_ENDPOINT_RETRY_S, Places
 from poplarrelay.entry.rate_limits import StatedLimit
+from poplarrelay.entry.request_context import RequestContext
 from poplarrelay.entry.requests import CallerRequest
+from poplarrelay.entry.responses import ResponseWriter
 from poplarrelay.entry.routing import Admitted, Denied, NoRoute, admit, choose_service
+from poplarrelay.entry.slots import NO_ENDPOINT_RETRY_S, SlotAllocator
 from poplarrelay.entry.state import EntryState
-from poplarrelay.entry.surveying import BacklogSurvey
 from poplarrelay.platform.headers import decode_request
 
 __all__ = ["Relay"]
@@ -82,7 +82,7 @@
         Takes the outcome of each request, for the metrics.
     announce : callable
         Tells all peers this node's row soon, out of turn.
-    survey : BacklogSurvey
+    backlog_client : BacklogClient
         Keeps count of prompts in line at engines, with the other nodes.
     permits : PermitBroker
         Obtains permits for endpoints that state a limit.
@@ -94,23 +94,23 @@
         pool: ConnectionPool,
         observe: Callable[[str, str, float], None],
         announce: Callable[[], None],
-        survey: BacklogSurvey,
+        backlog_client: BacklogClient,
         permits: PermitBroker,
     ) -> None:
         self._state = state
         self._pool = pool
-        self._answers = Answers(state, observe)
-        self._charges = Charges(state, announce)
-        self._survey = survey
+        self._response_writer = ResponseWriter(state, observe)
+        self._quota_charges = QuotaCharges(state, announce)
+        self._backlog_client = backlog_client
         self._permits = permits
-        self.places = Places(state, survey, permits)
+        self.slot_allocator = SlotAllocator(state, backlog_client, permits)
 
     async def handle(self, incoming: IncomingRequest, exchange: Exchange) -> None:
         """Serve one request to its final answer."""
         request = decode_request(incoming)
         configuration = self._state.configuration
         if configuration is None or not self._state.endpoints_known:
-            await self._answers.refuse(
+            await self._response_writer.refuse(
                 request,
                 exchange,
                 Refusal(503, RefusalReason.NO_CONFIGURATION, UNREADY_RETRY_S),
@@ -119,13 +119,13 @@
         verdict = admit(configuration, request)
         if isinstance(verdict, NoRoute):
             refusal = Refusal(404, RefusalReason.NO_ROUTE)
-            await self._answers.refuse(request, exchange, refusal)
+            await self._response_writer.refuse(request, exchange, refusal)
         elif isinstance(verdict, Denied):
             refusal = Refusal(401, RefusalReason.DENIED)
-            await self._answers.refuse(request, exchange, refusal)
+            await self._response_writer.refuse(request, exchange, refusal)
         elif self._comes_too_late(verdict.route):
             refusal = Refusal(503, RefusalReason.STOPPING, ELSEWHERE_RETRY_S)
-            await self._answers.refuse(request, exchange, refusal)
+            await self._response_writer.refuse(request, exchange, refusal)
         else:
             await self._serve_admitted(request, exchange, verdict, configuration)
 
@@ -149,7 +149,7 @@
         patience_s = route.timeout_s
         if request.patience_s is not None:
             patience_s = min(patience_s, request.patience_s)
-        case = Case(
+        context = RequestContext(
             request=request,
             exchange=exchange,
             route=route,
@@ -159,146 +159,154 @@
             until=request.started_at + patience_s,
             version=configuration.version,
             progress=StreamProgress(request.last_event_id),
-            knows_keys=bool(configuration.teams),
+            teams_configured=bool(configuration.teams),
             fingerprint=request.fingerprint(None if team is None else team.name),
         )
-        refusal = self._refuse_blocked(case) or self._charges.charge(case)
+        refusal = self._refuse_blocked(context) or self._quota_charges.charge(context)
         if refusal is None:
             now = monotonic()
-            self._state.budget(case.service).note_request(now)
+            self._state.budget(context.service).note_request(now)
             self._state.demand.note(
-                case.service,
+                context.service,
                 request.prompt_tokens or 0,
-                request.most_output_tokens or 0,
+                request.max_output_tokens or 0,
                 now,
             )
             try:
-                refusal = await self._work(case)
+                refusal = await self._work(context)
             except asyncio.CancelledError:
-                self._answers.log_end(case, 0, "caller left")
+                self._response_writer.log_end(context, 0, "caller left")
                 raise
-            self._state.note_end(case.service, monotonic())
+            self._state.note_end(context.service, monotonic())
         if refusal is not None:
-            if not case.begun and not case.may_have_run:
-                self._charges.refund(case)
-            await self._answers.end(case, refusal)
+            if not context.execution_started and not context.may_have_run:
+                self._quota_charges.refund(context)
+            await self._response_writer.end(context, refusal)
 
     # attempts
 
-    async def _work(self, case: Case) -> Refusal | None:
+    async def _work(self, context: RequestContext) -> Refusal | None:
         """Make attempts until one answers; return the refusal if none does."""
-        if not case.route.repeatable and not case.streams:
+        if not context.route.repeatable and not context.streams:
             # The work cannot be undone and its answer is near: it is let finish,
             # so that a caller that asks elsewhere finds it done.
-            case.exchange.on_gone(lambda: None)
+            context.exchange.on_gone(lambda: None)
         try:
-            async with asyncio.timeout(max(0.0, case.remaining_s)):
-                return await self._attempts(case)
+            async with asyncio.timeout(max(0.0, context.remaining_s)):
+                return await self._attempts(context)
         except TimeoutError:
-            if case.may_have_run:
+            if context.may_have_run:
                 return Refusal(504, RefusalReason.LATE)
             return Refusal(503, RefusalReason.FULL, NO_ENDPOINT_RETRY_S)
 
-    async def _attempts(self, case: Case) -> Refusal | None:
+    async def _attempts(self, context: RequestContext) -> Refusal | None:
         sends = 0
         while True:
-            choice = await self._take_place(case)
+            choice = await self._acquire_slot(context)
             if isinstance(choice, Refusal):
-                return await self._fall_back(case, choice)
-            last = not case.route.repeatable or sends + 1 >= case.route.max_attempts
-            result = await self._attempt(case, choice, last)
+                return await self._fall_back(context, choice)
+            last = (
+                not context.route.repeatable or sends + 1 >= context.route.max_attempts
+            )
+            result = await self._attempt(context, choice, last)
             if not isinstance(result, NotRun) or result.arrived:
                 sends += 1
             if isinstance(result, Streamed):
-                self._answers.log_end(case, HTTPStatus.OK, "streamed")
+                self._response_writer.log_end(context, HTTPStatus.OK, "streamed")
                 return None
             if isinstance(result, Answered):
                 if result.status not in _REPEATABLE_STATUSES:
-                    await self._answers.pass_on(case, result)
+                    await self._response_writer.pass_on(context, result)
                     return None
-                case.last_answer = result
-            refusal = self._may_go_on(case, result, sends)
+                context.last_error_response = result
+            refusal = self._may_go_on(context, result, sends)
             if refusal is not None:
-                return await self._fall_back(case, refusal)
+                return await self._fall_back(context, refusal)
 
-    async def _take_place(self, case: Case) -> Choice | Refusal:
+    async def _acquire_slot(self, context: RequestContext) -> Choice | Refusal:
         """Take a place, or refuse a request that is blocked."""
-        refusal = self._refuse_blocked(case)
+        refusal = self._refuse_blocked(context)
         if refusal is not None:
             return refusal
-        choice = await self.places.take(case)
+        choice = await self.slot_allocator.take(context)
         if isinstance(choice, Refusal):
             return choice
         # Other copies of the request may have crashed endpoints while it waited.
-        refusal = self._refuse_blocked(case)
+        refusal = self._refuse_blocked(context)
         if refusal is None:
             return choice
-        self.places.leave(case.service, choice.endpoint)
+        self.slot_allocator.leave(context.service, choice.endpoint)
         return refusal
 
-    def _refuse_blocked(self, case: Case) -> Refusal | None:
+    def _refuse_blocked(self, context: RequestContext) -> Refusal | None:
         """Return a refusal if the request is blocked for crashes of endpoints."""
         crashes = self._state.crashes
-        blocked_s = crashes.blocked_s(case.team_name, case.fingerprint, monotonic())
+        blocked_s = crashes.blocked_s(
+            context.team_name, context.fingerprint, monotonic()
+        )
         if blocked_s is None:
             return None
         crashes.refused += 1
-        detail = f"fingerprint {case.fingerprint}"
-        if case.may_have_run:
+        detail = f"fingerprint {context.fingerprint}"
+        if context.may_have_run:
             return Refusal(502, RefusalReason.CRASHES, detail=detail)
         return Refusal(503, RefusalReason.CRASHES, blocked_s, detail)
 
-    async def _fall_back(self, case: Case, refusal: Refusal) -> Refusal | None:
+    async def _fall_back(
+        self, context: RequestContext, refusal: Refusal
+    ) -> Refusal | None:
         """Pass on an endpoint's own bad answer, if there was one, before ours."""
-        if case.last_answer is None or case.exchange.begun:
+        if context.last_error_response is None or context.exchange.begun:
             return refusal
-        await self._answers.pass_on(case, case.last_answer)
+        await self._response_writer.pass_on(context, context.last_error_response)
         return None
 
     def _may_go_on(
-        self, case: Case, result: AttemptResult, sends: int
+        self, context: RequestContext, result: AttemptResult, sends: int
     ) -> Refusal | None:
         """Return why a request may not be sent to another endpoint."""
         ran = not isinstance(result, NotRun)
-        if ran and not case.route.repeatable:
+        if ran and not context.route.repeatable:
             return Refusal(502, RefusalReason.UNKNOWN, detail=result.why)
         if isinstance(result, NotRun) and not result.arrived:
-            if len(case.tried) > 6:
-                return self._not_run(case, result)
+            if len(context.tried) > 6:
+                return self._not_run(context, result)
             return None
         now = monotonic()
-        if sends >= case.route.max_attempts or not self._state.budget(
-            case.service
+        if sends >= context.route.max_attempts or not self._state.budget(
+            context.service
         ).take(now, self._state.count_nodes(now)):
-            return self._not_run(case, result)
+            return self._not_run(context, result)
         return None
 
-    def _not_run(self, case: Case, result: AttemptResult) -> Refusal:
-        if case.may_have_run:
+    def _not_run(self, context: RequestContext, result: AttemptResult) -> Refusal:
+        if context.may_have_run:
             return Refusal(502, RefusalReason.UNKNOWN, detail=result.why)
-        wait_s = self.places.retry_after(case)
+        wait_s = self.slot_allocator.retry_after(context)
         return Refusal(503, RefusalReason.NOT_RUN, wait_s, result.why)
 
-    async def _attempt(self, case: Case, choice: Choice, last: bool) -> AttemptResult:
+    async def _attempt(
+        self, context: RequestContext, choice: Choice, last: bool
+    ) -> AttemptResult:
         row = choice.endpoint
-        case.tried.append(row.endpoint)
+        context.tried.append(row.endpoint)
         sent_at = monotonic()
-        list_age_s = round(self._state.freshness.told_age_s(sent_at), 2)
+        list_age_s = round(self._state.freshness.reported_age_s(sent_at), 2)
         list_as_of = self._state.freshness.as_of
         plan = AttemptPlan(
             endpoint=row,
-            until=case.until,
-            patience_s=None if last else self._patience(case),
-            team=None if case.team is None else case.team.name,
-            priority=case.priority if case.streams else None,
+            until=context.until,
+            patience_s=None if last else self._patience(context),
+            team=None if context.team is None else context.team.name,
+            priority=context.priority if context.streams else None,
             fetch_from=choice.fetch_from,
-            pass_credentials=not case.knows_keys,
+            pass_credentials=not context.teams_configured,
         )
 
         unread = choice.unread_tokens
         ahead_requests = row.load - 1
         row.prefill_tokens += unread
-        self._tell_placement(case, choice)
+        self._tell_placement(context, choice)
         first_event_s: float | None = None
 
         def begun(took_s: float) -> None:
@@ -306,29 +314,29 @@
             row.prefill_tokens -= unread
             unread = 0
             first_event_s = took_s
-            if case.request.prompt_tokens:
-                self._survey.take_out(
-                    row.endpoint, case.request.request, PromptEnd.BEGAN
+            if context.request.prompt_tokens:
+                self._backlog_client.remove_prompt(
+                    row.endpoint, context.request.request, PromptEnd.BEGAN
                 )
             note_success_time(row, took_s)
-            self._count_usage(case)
+            self._count_usage(context)
 
         def on_limit(stated: StatedLimit, sent_at: float) -> None:
             self._permits.note_stated_limit(row, stated, sent_at)
 
         attempt = Attempt(
-            case.request,
-            case.exchange,
+            context.request,
+            context.exchange,
             plan,
             self._pool,
             begun,
             on_limit,
-            case.progress,
+            context.progress,
         )
-        ran_before = case.may_have_run
+        ran_before = context.may_have_run
         # True until the endpoint says otherwise: the wait may end at the deadline,
         # in the middle of the attempt.
-        case.may_have_run = True
+        context.may_have_run = True
         end = PromptEnd.NOT_BEGUN
         try:
             result = await attempt.run()
@@ -336,26 +344,28 @@
                 end = PromptEnd.ENGINE_GONE
         finally:
             row.prefill_tokens -= unread
-            if case.request.prompt_tokens and first_event_s is None:
-                self._survey.take_out(row.endpoint, case.request.request, end)
-            self.places.leave(case.service, row)
+            if context.request.prompt_tokens and first_event_s is None:
+                self._backlog_client.remove_prompt(
+                    row.endpoint, context.request.request, end
+                )
+            self.slot_allocator.leave(context.service, row)
         if isinstance(result, NotRun):
-            case.may_have_run = ran_before
-        self._judge(case, row, result)
-        self._note_crash_or_answer(case, row, result)
+            context.may_have_run = ran_before
+        self._judge(context, row, result)
+        self._note_crash_or_answer(context, row, result)
         _LOG.info(
             "attempt",
             extra={
-                "request": case.request.request,
-                "fingerprint": case.fingerprint,
+                "request": context.request.request,
+                "fingerprint": context.fingerprint,
                 "endpoint": row.endpoint,
-                "service": case.service,
+                "service": context.service,
                 "reason": choice.reason,
-                "prompt_tokens": case.request.prompt_tokens,
+                "prompt_tokens": context.request.prompt_tokens,
                 "unread_tokens": choice.unread_tokens,
-                "ahead_ms": _milliseconds(choice.line_s),
+                "ahead_ms": _milliseconds(choice.queue_s),
                 "ahead_requests": ahead_requests,
-                "due_ms": _milliseconds(choice.line_s + choice.reading_s),
+                "due_ms": _milliseconds(choice.queue_s + choice.prefill_s),
                 "first_event_ms": _milliseconds(first_event_s),
                 "load": row.load,
                 "limit_per_s": row.limit_per_s,
@@ -370,11 +380,11 @@
         return result
 
     def _note_crash_or_answer(
-        self, case: Case, row: Endpoint, result: AttemptResult
+        self, context: RequestContext, row: Endpoint, result: AttemptResult
     ) -> None:
         """Note a crash of the endpoint, or its complete answer."""
         crashes, now = self._state.crashes, monotonic()
-        team, fingerprint = case.team_name, case.fingerprint
+        team, fingerprint = context.team_name, context.fingerprint
         if isinstance(result, Answered | Streamed):
             good = isinstance(result, Streamed) or result.status < 500
             if good and result.framed:
@@ -384,28 +394,28 @@
         if not broken or row.leaving:
             # An endpoint that leaves may close connections without a crash.
             return
-        counted = crashes.note_crash(team, fingerprint, run_of(row), now)
+        counted = crashes.note_crash(team, fingerprint, endpoint_run(row), now)
         _LOG.warning(
             "endpoint closed on request",
             extra={
-                "request": case.request.request,
+                "request": context.request.request,
                 "fingerprint": fingerprint,
                 "endpoint": row.endpoint,
-                "service": case.service,
+                "service": context.service,
                 "crashes": counted,
             },
         )
 
-    def _tell_placement(self, case: Case, choice: Choice) -> None:
+    def _tell_placement(self, context: RequestContext, choice: Choice) -> None:
         """Have the engine's keeper and the demand count a prompt to be read."""
-        request = case.request
+        request = context.request
         if not request.prompt_tokens:
             return
         self._state.demand.note_unread(
-            case.service, request.prompt_tokens, choice.unread_tokens
+            context.service, request.prompt_tokens, choice.unread_tokens
         )
         parts = tuple(part.part for part in request.prefix[:-1])
-        self._survey.place(
+        self._backlog_client.add_prompt(
             Placement(
                 choice.endpoint.endpoint,
                 request.request,
@@ -415,25 +425,27 @@
             )
         )
 
-    def _patience(self, case: Case) -> float:
-        if case.streams:
-            return max(STREAM_SILENCE_S, min(2.0, 2 * case.route.target_s))
+    def _patience(self, context: RequestContext) -> float:
+        if context.streams:
+            return max(STREAM_SILENCE_S, min(2.0, 2 * context.route.target_s))
         return min(
-            max(LEAST_SILENCE_S, SILENCE_TARGETS * case.route.target_s),
-            0.5 * max(0.05, case.remaining_s),
+            max(LEAST_SILENCE_S, SILENCE_TARGETS * context.route.target_s),
+            0.5 * max(0.05, context.remaining_s),
         )
 
-    def _count_usage(self, case: Case) -> None:
-        if case.begun:
+    def _count_usage(self, context: RequestContext) -> None:
+        if context.execution_started:
             return
-        case.begun = True
-        if case.team is not None:
-            self._state.usage.note(case.team.name, self._state.clock.now())
+        context.execution_started = True
+        if context.team is not None:
+            self._state.usage.note(context.team.name, self._state.clock.now())
 
-    def _judge(self, case: Case, row: Endpoint, result: AttemptResult) -> None:
+    def _judge(
+        self, context: RequestContext, row: Endpoint, result: AttemptResult
+    ) -> None:
         """Learn from an attempt how the endpoint fares."""
         now = monotonic()
-        peers = self._state.endpoints.of(case.service)
+        peers = self._state.endpoints.of(context.service)
         if isinstance(result, Streamed):
             note_success(row)
             return
@@ -454,7 +466,7 @@
                 "endpoint avoided",
                 extra={
                     "endpoint": row.endpoint,
-                    "service": case.service,
+                    "service": context.service,
                     "why": result.why,
                     "failure_rate": round(row.health.failure_rate, 2),
                     "in_row": row.health.failures_in_row,
--- a/poplarrelay/entry/case.py
+++ b/poplarrelay/entry/request_context.py
@@ -12,11 +12,11 @@
 from poplarrelay.entry.requests import CallerRequest
 from poplarrelay.identifiers import EndpointId, RequestFingerprint, TeamId
 
-__all__ = ["Case"]
+__all__ = ["RequestContext"]
 
 
 @dataclass(slots=True)
-class Case:
+class RequestContext:
     """One admitted request, from its arrival to its final answer.
 
     Attributes
@@ -27,7 +27,7 @@
         Monotonic time at which nobody waits for the answer any more.
     version : int
         The configuration that admitted it.
-    knows_keys : bool
+    teams_configured : bool
         Whether the configuration has teams with keys.
     fingerprint : RequestFingerprint
         Digest of the request, the same for all of the caller's retries.
@@ -35,9 +35,9 @@
         Where it has been sent, or was to be sent.
     may_have_run : bool
         Whether an endpoint may have worked on it.
-    begun : bool
+    execution_started : bool
         Whether an endpoint has shown that it does.
-    last_answer : Answered or None
+    last_error_response : Answered or None
         An endpoint's own bad answer, kept while another one is tried.
     quota_cost : float
         What it has taken from its team's quota.
@@ -54,12 +54,12 @@
     until: float
     version: int
     progress: StreamProgress
-    knows_keys: bool
+    teams_configured: bool
     fingerprint: RequestFingerprint
     tried: list[EndpointId] = field(default_factory=list)
     may_have_run: bool = False
-    begun: bool = False
-    last_answer: Answered | None = None
+    execution_started: bool = False
+    last_error_response: Answered | None = None
     quota_cost: float = 0.0
     quota_left: float | None = None
 
--- a/poplarrelay/entry/waiting.py
+++ b/poplarrelay/entry/request_queue.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from poplarrelay.entry.choosing import Choice, Wish
+from poplarrelay.entry.choosing import Choice, SelectionCriteria
 from poplarrelay.entry.configuration import Route, ServiceName
 
 __all__ = [
     "PermitDenied",
+    "RequestQueue",
     "Waiter",
-    "WaitingRoom",
-    "bounded_retry",
-    "longest_wait",
+    "bound_retry_after",
+    "max_queue_wait",
     "retry_after",
 ]
 
@@ -30,7 +30,7 @@
 LEAST_RETRY_S = 0.05
 
 
-def longest_wait(route: Route, remaining_s: float) -> float:
+def max_queue_wait(route: Route, remaining_s: float) -> float:
     """Return how long a request may wait for a place before it is refused.
 
     Parameters
@@ -43,7 +43,7 @@
     return max(0.0, min(WAIT_SHARE * route.target_s, 0.5 * remaining_s))
 
 
-def bounded_retry(wait_s: float, remaining_s: float) -> float:
+def bound_retry_after(wait_s: float, remaining_s: float) -> float:
     """Return a time to come back after that a caller keeps to, in seconds."""
     return max(LEAST_RETRY_S, min(wait_s, PATIENCE_SHARE * remaining_s))
 
@@ -67,7 +67,7 @@
     for longer than it would stay away.
     """
     until_free = (waiting + 1) / max(rate, 1.0)
-    return bounded_retry(until_free, remaining_s)
+    return bound_retry_after(until_free, remaining_s)
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,13 +99,13 @@
 
     priority: int
     sequence: int
-    wish: Wish = field(compare=False)
-    place: Future[Choice | PermitDenied] = field(compare=False)
+    criteria: SelectionCriteria = field(compare=False)
+    slot: Future[Choice | PermitDenied] = field(compare=False)
     until: float = field(compare=False, default=float("inf"))
 
 
 @dataclass(slots=True)
-class WaitingRoom:
+class RequestQueue:
     """The queues of all services on one node.
 
     Notes
@@ -122,28 +122,28 @@
         self,
         service: ServiceName,
         priority: int,
-        wish: Wish,
-        place: Future[Choice | PermitDenied],
+        criteria: SelectionCriteria,
+        slot: Future[Choice | PermitDenied],
         until: float = float("inf"),
     ) -> Waiter:
         """Add a request to a service's queue."""
         self.arrivals += 1
-        waiter = Waiter(priority, self.arrivals, wish, place, until)
+        waiter = Waiter(priority, self.arrivals, criteria, slot, until)
         heapq.heappush(self.queues.setdefault(service, []), waiter)
         return waiter
 
     def length(self, service: ServiceName) -> int:
         """Return how many requests wait for a service."""
         queue = self.queues.get(service, ())
-        return sum(1 for waiter in queue if not waiter.place.done())
+        return sum(1 for waiter in queue if not waiter.slot.done())
 
     def pending(self, service: ServiceName) -> list[Waiter]:
         """Return the requests waiting for a service, in the order of service."""
         queue = self.queues.get(service, ())
-        return sorted(waiter for waiter in queue if not waiter.place.done())
+        return sorted(waiter for waiter in queue if not waiter.slot.done())
 
     def serve(
-        self, service: ServiceName, choose: Callable[[Wish], Choice | None]
+        self, service: ServiceName, choose: Callable[[SelectionCriteria], Choice | None]
     ) -> None:
         """Give places to waiting requests, as long as there are any.
 
@@ -158,9 +158,9 @@
         passed: list[Waiter] = []
         while queue:
             waiter = heapq.heappop(queue)
-            if waiter.place.done():
+            if waiter.slot.done():
                 continue
-            choice = choose(waiter.wish)
+            choice = choose(waiter.criteria)
             if choice is None:
                 passed.append(waiter)
                 # One that has tried some endpoints may find no place where the
@@ -168,6 +168,6 @@
                 if len(passed) >= 4:
                     break
                 continue
-            waiter.place.set_result(choice)
+            waiter.slot.set_result(choice)
         for waiter in passed:
             heapq.heappush(queue or self.queues.setdefault(service, []), waiter)
--- a/poplarrelay/entry/requests.py
+++ b/poplarrelay/entry/requests.py
@@ -55,7 +55,7 @@
         The caller's key, where it sent one.
     credentials : bytes or None
         The header that holds it, for endpoints that check callers themselves.
-    prompt_tokens, most_output_tokens : int or None
+    prompt_tokens, max_output_tokens : int or None
         The size of a generation, None where the request states none.
     prefix : tuple of PromptPart
         The prompt's parts in order; the last one is the request's own.
@@ -76,14 +76,14 @@
     key: str | None = None
     credentials: bytes | None = None
     prompt_tokens: int | None = None
-    most_output_tokens: int | None = None
+    max_output_tokens: int | None = None
     prefix: tuple[PromptPart, ...] = field(default=())
     last_event_id: bytes | None = None
 
     @property
     def tokens(self) -> int:
         """Return the tokens that it reads and may generate."""
-        return (self.prompt_tokens or 0) + (self.most_output_tokens or 0)
+        return (self.prompt_tokens or 0) + (self.max_output_tokens or 0)
 
     def fingerprint(self, team: TeamId | None) -> RequestFingerprint:
         """Return a digest of the caller, host, method, target and body.
--- a/poplarrelay/entry/answering.py
+++ b/poplarrelay/entry/responses.py
@@ -9,14 +9,14 @@
 
 import orjson
 
-from poplarrelay.entry.case import Case
 from poplarrelay.entry.http.connection import Headers
 from poplarrelay.entry.http.listener import Exchange
 from poplarrelay.entry.outcomes import Answered, Refusal, RefusalReason
+from poplarrelay.entry.request_context import RequestContext
 from poplarrelay.entry.requests import CallerRequest
 from poplarrelay.entry.state import EntryState
 
-__all__ = ["Answers"]
+__all__ = ["ResponseWriter"]
 
 _LOG = logging.getLogger("poplarrelay.entry.request")
 
@@ -25,7 +25,7 @@
 _PROMISES = frozenset((408, 421, 429, 503))
 
 
-class Answers:
+class ResponseWriter:
     """Writes the final answer of each request, exactly one.
 
     Parameters
@@ -48,31 +48,31 @@
         """Refuse a request that the configuration does not admit, or not now."""
         await self._write_refusal(request, exchange, refusal)
 
-    async def pass_on(self, case: Case, answer: Answered) -> None:
+    async def pass_on(self, context: RequestContext, answer: Answered) -> None:
         """Pass on an endpoint's whole answer."""
         if answer.status in _PROMISES:
             refusal = Refusal(502, RefusalReason.UNKNOWN, detail=answer.why)
-            await self.end(case, refusal)
+            await self.end(context, refusal)
             return
-        await case.exchange.send(answer.status, answer.headers, answer.body)
-        self.log_end(case, answer.status, "answered")
+        await context.exchange.send(answer.status, answer.headers, answer.body)
+        self.log_end(context, answer.status, "answered")
 
-    async def end(self, case: Case, refusal: Refusal) -> None:
+    async def end(self, context: RequestContext, refusal: Refusal) -> None:
         """End a request for which no endpoint's answer is passed on."""
-        if case.exchange.begun:
+        if context.exchange.begun:
             # Part of the stream is out. Breaking the connection tells the caller
             # that it is not whole.
-            case.exchange.abort()
-            self.log_end(case, 0, f"broken off: {refusal.reason.value}")
+            context.exchange.abort()
+            self.log_end(context, 0, f"broken off: {refusal.reason.value}")
             return
-        await self._write_refusal(case.request, case.exchange, refusal, case)
+        await self._write_refusal(context.request, context.exchange, refusal, context)
 
     async def _write_refusal(
         self,
         request: CallerRequest,
         exchange: Exchange,
         refusal: Refusal,
-        case: Case | None = None,
+        context: RequestContext | None = None,
     ) -> None:
         status = HTTPStatus(refusal.status)
         headers: Headers = [(b"Content-Type", b"application/problem+json")]
@@ -85,8 +85,8 @@
         )
         if not exchange.caller_gone:
             await exchange.send(status, headers, body)
-        if case is not None:
-            self.log_end(case, status, refusal.reason.value, refusal)
+        if context is not None:
+            self.log_end(context, status, refusal.reason.value, refusal)
             return
         version = self._state.configuration
         _LOG.info(
@@ -103,37 +103,41 @@
         self._observe("none", str(int(status)), monotonic() - request.started_at)
 
     def log_end(
-        self, case: Case, status: int, outcome: str, refusal: Refusal | None = None
+        self,
+        context: RequestContext,
+        status: int,
+        outcome: str,
+        refusal: Refusal | None = None,
     ) -> None:
         """Write the line that ends a request's log, and count it."""
         now = monotonic()
-        took_s = now - case.request.started_at
-        first_at = case.progress.first_event_at
+        took_s = now - context.request.started_at
+        first_at = context.progress.first_event_at
         extra = {
-            "request": case.request.request,
-            "fingerprint": case.fingerprint,
-            "route": case.route.name,
-            "team": None if case.team is None else case.team.name,
-            "service": case.service,
-            "priority": case.priority,
+            "request": context.request.request,
+            "fingerprint": context.fingerprint,
+            "route": context.route.name,
+            "team": None if context.team is None else context.team.name,
+            "service": context.service,
+            "priority": context.priority,
             "status": int(status),
             "outcome": outcome,
-            "attempts": len(case.tried),
-            "tokens": case.request.tokens,
-            "target_ms": round(1000 * case.route.target_s),
+            "attempts": len(context.tried),
+            "tokens": context.request.tokens,
+            "target_ms": round(1000 * context.route.target_s),
             "took_ms": round(1000 * took_s, 1),
-            "configuration": case.version,
+            "configuration": context.version,
             "configuration_age_s": round(now - self._state.configuration_at, 1),
         }
-        if case.quota_left is not None:
-            extra["quota_cost"] = case.quota_cost
-            extra["quota_left"] = round(case.quota_left)
+        if context.quota_left is not None:
+            extra["quota_cost"] = context.quota_cost
+            extra["quota_left"] = round(context.quota_left)
         if first_at is not None:
             extra["first_event_ms"] = round(
-                1000 * (first_at - case.request.started_at), 1
+                1000 * (first_at - context.request.started_at), 1
             )
         if refusal is not None:
             extra["retry_after_s"] = refusal.retry_after_s
             extra["detail"] = refusal.detail
         _LOG.info("request", extra=extra)
-        self._observe(case.route.name, str(int(status)), took_s)
+        self._observe(context.route.name, str(int(status)), took_s)
--- a/poplarrelay/entry/ordering.py
+++ b/poplarrelay/entry/scaling.py
@@ -8,7 +8,7 @@
 from math import ceil
 from time import monotonic
 
-from poplarrelay.entry.choosing import usual_speed
+from poplarrelay.entry.choosing import median_prefill_speed
 from poplarrelay.entry.configuration import (
     Configuration,
     ScalingLimits,
@@ -16,35 +16,35 @@
     ServiceName,
 )
 from poplarrelay.entry.demand import expected_tokens_per_s
-from poplarrelay.entry.duties import DutyLease
+from poplarrelay.entry.duty_lease import DutyLease
 from poplarrelay.entry.endpoints import Endpoint
 from poplarrelay.entry.sizing import (
-    READING_SHARE,
+    PREFILL_SHARE,
     Plan,
     SizingInput,
     count_for_load,
     count_lost_to_limits,
     count_needed,
     count_serving,
-    domains_taken,
     plan_endpoints,
+    reclaimed_domains,
 )
 from poplarrelay.entry.state import EntryState
 from poplarrelay.identifiers import DomainId
 from poplarrelay.platform.cloud import (
-    CloudApi,
+    CloudClient,
     CloudOutcome,
     DutyStamp,
     EndpointOrder,
 )
 
-__all__ = ["ROUND_S", "EndpointOrders"]
+__all__ = ["SCALING_INTERVAL_S", "EndpointScaler"]
 
 _LOG = logging.getLogger("poplarrelay.entry.duty")
 
 #: Seconds between rounds: a notice of some two seconds is answered within its first
 #: quarter.
-ROUND_S = 0.25
+SCALING_INTERVAL_S = 0.25
 #: Seconds between orders that say the same. An order whose answer was lost may be
 #: carried out after a newer one, and would stay in force otherwise.
 AFFIRM_S = 8.0
@@ -90,14 +90,14 @@
     raised_at: float = float("-inf")
 
 
-class EndpointOrders:
+class EndpointScaler:
     """Orders endpoints for the services whose number this system chooses.
 
     Parameters
     ----------
     state : EntryState
         The node's tables.
-    cloud : CloudApi
+    cloud : CloudClient
         Where endpoints are ordered.
     lease : DutyLease
         Tells whether this node may give orders.
@@ -108,7 +108,7 @@
     def __init__(
         self,
         state: EntryState,
-        cloud: CloudApi,
+        cloud: CloudClient,
         lease: DutyLease,
         stamp: Callable[[], DutyStamp],
     ) -> None:
@@ -117,7 +117,7 @@
         self._lease = lease
         self._stamp = stamp
         self._orders: dict[tuple[ServiceName, DomainId, bool], _OrderState] = {}
-        self._dry_until: dict[tuple[ServiceName, DomainId], float] = {}
+        self._exhausted_until: dict[tuple[ServiceName, DomainId], float] = {}
         self._started_at = monotonic()
         self._found: dict[ServiceName, int] = {}
         self._first_load_at: dict[ServiceName, float] = {}
@@ -157,10 +157,10 @@
         demand = self._state.total_demand(service, now)
         load = float(sum(row.load for row in rows))
         slots = min((row.slots for row in rows), default=1)
-        speed = usual_speed(rows)
+        speed = median_prefill_speed(rows)
         needed = max(count_needed(demand, speed), count_for_load(load, slots))
         tokens = self._state.demand.mean_tokens(service)
-        requests_per_s = READING_SHARE * speed / max(1.0, tokens)
+        requests_per_s = PREFILL_SHARE * speed / max(1.0, tokens)
         return needed + count_lost_to_limits(rows, requests_per_s)
 
     async def _order_endpoints(self, service: Service) -> None:
@@ -172,13 +172,13 @@
             return
         # A domain that turns out to have none changes the plan of the others.
         for _ in limits.domain_prices:
-            dry = self._dry_domains(service, monotonic())
-            plan = self._plan(service, limits, dry)
+            exhausted_domains = self._exhausted_domains(service, monotonic())
+            plan = self._plan(service, limits, exhausted_domains)
             for part in plan:
                 order = EndpointOrder(service.name, part.domain, part.reclaimable, True)
-                if part.domain not in dry or self._lowers(order):
+                if part.domain not in exhausted_domains or self._lowers(order):
                     await self._order(order, limits)
-            if self._dry_domains(service, monotonic()) <= dry:
+            if self._exhausted_domains(service, monotonic()) <= exhausted_domains:
                 break
         for part in plan:
             order = EndpointOrder(service.name, part.domain, part.on_demand, False)
@@ -186,7 +186,10 @@
                 await self._order(order, limits)
 
     def _plan(
-        self, service: Service, limits: ScalingLimits, dry: Collection[DomainId]
+        self,
+        service: Service,
+        limits: ScalingLimits,
+        exhausted_domains: Collection[DomainId],
     ) -> Plan:
         now = monotonic()
         rows = self._state.endpoints.of(service.name)
@@ -197,7 +200,7 @@
             self._needed.get(service.name, 0.0),
             self._steady.get(service.name, 0.0),
             self._least_at_start(service.name, rows, now),
-            dry,
+            exhausted_domains,
             [d for d in domains if self._overdue(service.name, d, limits, now)],
             {d: self._coming(service.name, d, True) for d in domains},
             {d: self._coming(service.name, d, False) for d in domains},
@@ -234,7 +237,7 @@
             return False
         return monotonic() - last.raised_at < KEEP_BOOTS * limits.boot_s
 
-    def _dry_domains(self, service: Service, now: float) -> set[DomainId]:
+    def _exhausted_domains(self, service: Service, now: float) -> set[DomainId]:
         """Return the domains where no reclaimable endpoints are to be had.
 
         Notes
@@ -248,7 +251,7 @@
             if name == service.name and reclaimable
         }
         rows = self._state.endpoints.of(service.name)
-        found = domains_taken(rows, ordered)
+        found = reclaimed_domains(rows, ordered)
         for domain in found:
             # What was ordered there is gone, however it may count at the platform.
             last = self._orders.get((service.name, domain, True))
@@ -256,7 +259,7 @@
                 last.count = None
         found |= {
             domain
-            for (name, domain), until in self._dry_until.items()
+            for (name, domain), until in self._exhausted_until.items()
             if name == service.name and now < until
         }
         return found
@@ -309,7 +312,7 @@
             return 0
         scaled = _scaled_services(configuration)
         tokens_per_s = expected_tokens_per_s(configuration.teams.values())
-        speed = usual_speed(self._state.endpoints.of(service))
+        speed = median_prefill_speed(self._state.endpoints.of(service))
         return ceil(count_needed(tokens_per_s / max(1, len(scaled)), speed))
 
     def _present(self, order: EndpointOrder) -> int:
@@ -349,7 +352,7 @@
         if order.count > before:
             last.raised_at = now
         if outcome is CloudOutcome.CONFLICT and order.reclaimable:
-            self._dry_until[order.service, order.domain] = now + DRY_S
+            self._exhausted_until[order.service, order.domain] = now + DRY_S
         _LOG.info(
             "endpoints ordered",
             extra={
--- a/poplarrelay/entry/settings.py
+++ b/poplarrelay/entry/settings.py
@@ -10,7 +10,7 @@
     ADDRESS_PATTERN,
     NAME_PATTERN,
     StrictModel,
-    load_model,
+    load_json_file,
 )
 
 __all__ = [
@@ -149,7 +149,7 @@
         SettingsError
             With every fault of the file.
         """
-        return load_model(cls, path)
+        return load_json_file(cls, path)
 
     @property
     def seed_hosts(self) -> tuple[str, ...]:
--- a/poplarrelay/entry/sizing.py
+++ b/poplarrelay/entry/sizing.py
@@ -11,7 +11,7 @@
 from poplarrelay.identifiers import DomainId
 
 __all__ = [
-    "READING_SHARE",
+    "PREFILL_SHARE",
     "DomainPlan",
     "Plan",
     "SizingInput",
@@ -19,13 +19,13 @@
     "count_lost_to_limits",
     "count_needed",
     "count_serving",
-    "domains_taken",
     "plan_endpoints",
+    "reclaimed_domains",
 ]
 
 #: Part of what an engine reads when it does nothing else that is asked of it on
 #: average: prompts come in clumps, and streams pause while others are read beside them.
-READING_SHARE = 0.75
+PREFILL_SHARE = 0.75
 #: Part of what is needed that on-demand endpoints need not make up for, if reclaimable
 #: ones cost nothing beside them: the last ones shorten few waits for their price.
 ON_DEMAND_SAVING = 0.1
@@ -66,9 +66,9 @@
         peak, and in the mean of some seconds.
     least : int
         Endpoints that are wanted whatever callers ask for.
-    dry : collection of DomainId
+    exhausted_domains : collection of DomainId
         Domains where no reclaimable endpoints are to be had at the moment.
-    overdue : collection of DomainId
+    overdue_domains : collection of DomainId
         Domains where reclaimable endpoints should serve by now that were ordered.
     ordered, on_demand : mapping of DomainId to int
         Endpoints of each kind that were ordered and serve, or may still boot.
@@ -79,8 +79,8 @@
     needed: float
     steady: float
     least: int = LEAST_ENDPOINTS
-    dry: Collection[DomainId] = ()
-    overdue: Collection[DomainId] = ()
+    exhausted_domains: Collection[DomainId] = ()
+    overdue_domains: Collection[DomainId] = ()
     ordered: Mapping[DomainId, int] = field(default_factory=dict)
     on_demand: Mapping[DomainId, int] = field(default_factory=dict)
 
@@ -95,7 +95,7 @@
     speed : float
         Prompt tokens that an engine reads in a second.
     """
-    return tokens_per_s / (READING_SHARE * speed)
+    return tokens_per_s / (PREFILL_SHARE * speed)
 
 
 def count_for_load(load: float, slots: int) -> float:
@@ -156,7 +156,7 @@
     )
 
 
-def domains_taken(
+def reclaimed_domains(
     rows: Sequence[Endpoint], ordered: Mapping[DomainId, int | None]
 ) -> set[DomainId]:
     """Return the domains whose reclaimable endpoints are all being taken away.
@@ -208,7 +208,10 @@
     least = max(0, needed - sum(coming.values()))
     count = min(max(sum(on_demand.values()), least), most)
     # What cannot be had must not take the room of what can.
-    taken = {d: serving[d] if d in given.dry else reclaimable[d] for d in domains}
+    taken = {
+        d: serving[d] if d in given.exhausted_domains else reclaimable[d]
+        for d in domains
+    }
     placed = _place_on_demand(domains, count, on_demand, taken, limits)
     return tuple(
         DomainPlan(d, min(reclaimable[d], limits.most - placed[d]), placed[d])
@@ -218,9 +221,9 @@
 
 def _coming(domain: DomainId, serving: int, planned: int, given: SizingInput) -> int:
     """Return how many reclaimable endpoints of a domain may be counted on."""
-    if domain in given.overdue:
+    if domain in given.overdue_domains:
         return serving
-    if domain in given.dry:
+    if domain in given.exhausted_domains:
         return max(serving, given.ordered.get(domain, 0))
     return planned
 
@@ -244,7 +247,7 @@
     counts = {
         d: min(room[d], max(serving[d], given.ordered.get(d, 0))) for d in domains
     }
-    open_domains = [d for d in domains if d not in given.dry]
+    open_domains = [d for d in domains if d not in given.exhausted_domains]
     equal = max(1, limits.least, target // len(domains))
     for domain in open_domains:
         counts[domain] = max(counts[domain], min(room[domain], equal))
--- a/poplarrelay/entry/pacing.py
+++ b/poplarrelay/entry/slot_limits.py
@@ -4,7 +4,7 @@
 
 from math import ceil
 
-__all__ = ["fair_share"]
+__all__ = ["max_slots_per_node"]
 
 #: How many times its equal part of an endpoint's slots a node may take.
 SHARE_FACTOR = 3.0
@@ -12,7 +12,7 @@
 LEAST_SHARE = 2
 
 
-def fair_share(slots: int, nodes: int) -> int:
+def max_slots_per_node(slots: int, nodes: int) -> int:
     """Return how many of an endpoint's slots one node may take.
 
     Parameters
@@ -32,7 +32,7 @@
 
     Examples
     --------
-    >>> fair_share(64, 9), fair_share(24, 61), fair_share(6, 1)
+    >>> max_slots_per_node(64, 9), max_slots_per_node(24, 61), max_slots_per_node(6, 1)
     (22, 2, 18)
     """
     return max(LEAST_SHARE, ceil(SHARE_FACTOR * slots / max(1, nodes)))
--- a/poplarrelay/entry/state.py
+++ b/poplarrelay/entry/state.py
@@ -14,13 +14,13 @@
 from poplarrelay.entry.crashes import CrashTable
 from poplarrelay.entry.demand import DemandMeter
 from poplarrelay.entry.endpoints import EndpointTable
-from poplarrelay.entry.freshness import ListFreshness, ListTimes
+from poplarrelay.entry.list_freshness import ListFreshness, ListTimes
 from poplarrelay.entry.metering import UsageCounts
-from poplarrelay.entry.pacing import fair_share
+from poplarrelay.entry.peer_rows import NodeState, PeerRow
 from poplarrelay.entry.peers import PeerTable
 from poplarrelay.entry.quotas import Bucket
-from poplarrelay.entry.rows import NodeState, PeerRow
 from poplarrelay.entry.settings import EntrySettings, parse_address
+from poplarrelay.entry.slot_limits import max_slots_per_node
 from poplarrelay.identifiers import DomainId, Incarnation, NodeId, TeamId
 
 __all__ = ["EntryState"]
@@ -115,7 +115,7 @@
         """Return whether this node takes callers."""
         return self.me.state is NodeState.READY
 
-    def take_settings(self, settings: EntrySettings) -> None:
+    def apply_settings(self, settings: EntrySettings) -> None:
         """Put changed settings in force.
 
         Notes
@@ -184,13 +184,13 @@
         stopped = sum(state is NodeState.STOPPED for state in states.values())
         return 1 + max(len(states), len(self.listed or ())) - stopped
 
-    def keepers(self) -> dict[NodeId, str]:
+    def coordinators(self) -> dict[NodeId, str]:
         """Return the hosts of the nodes that keep count of engines' prompts."""
         rows = [self.me, *self.peers.alive(monotonic())]
         ready = {r.node: r.host for r in rows if r.state is NodeState.READY}
         return ready or {self.me.node: self.me.host}
 
-    def heard_shares(self) -> tuple[float, float]:
+    def reachable_fractions(self) -> tuple[float, float]:
         """Return the fractions of all nodes that this node hears, and that one node is.
 
         Notes
@@ -212,7 +212,7 @@
         nodes = self.count_nodes(now)
         for row in self.endpoints.rows.values():
             row.elsewhere = 0
-            row.own_share = fair_share(row.slots, nodes)
+            row.slot_share = max_slots_per_node(row.slots, nodes)
         for told in self.peers.counted(now):
             for endpoint, count in told.loads.items():
                 found = self.endpoints.rows.get(endpoint)
