--- a/poplarrelay/entry/tests/test_calls.py
+++ b/poplarrelay/entry/tests/test_calls.py
@@ -8,16 +8,16 @@
 
 from poplarrelay.entry import relaying
 from poplarrelay.entry.http.connection import header_value
-from poplarrelay.entry.waiting import WAIT_SHARE
+from poplarrelay.entry.request_queue import WAIT_SHARE
 from poplarrelay.identifiers import EndpointId
 from poplarrelay.standins.users.runner import Fault
-from poplarrelay.testing.users import (
+from poplarrelay.testing.entry_site import (
     CALLS,
     KEY,
-    play,
-    run_users_site,
-    until,
-    users_configuration,
+    entry_configuration,
+    poll_until,
+    run_entry_site,
+    run_scenario,
 )
 
 TARGET_S = 0.5
@@ -31,7 +31,7 @@
 
 def test_call_is_passed_on_byte_for_byte():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             body = bytes(range(256)) * 20
@@ -45,14 +45,14 @@
             assert got.body == body
             assert got.headers["x-other"] == "1"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoint_gets_what_is_the_systems_to_set():
     # A caller sends headers that choose a team, an endpoint or another's KV cache.
     # The endpoint must get the system's own values, or none; the key stays here.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             answer = await site.call(
@@ -84,21 +84,21 @@
             ):
                 assert name not in headers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_credentials_reach_endpoints_only_where_no_keys_are_known():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             site.configure(2, tenants=[])
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
-            await until(lambda: site.nodes["a"].state.me.configuration == 2)
+            await poll_until(lambda: site.nodes["a"].state.me.configuration == 2)
             assert (await site.call("/look/x")).status == 200
             assert runner.ran[0].headers["authorization"] == f"Bearer {KEY}"
             assert "x-poplarrelay-tenant" not in runner.ran[0].headers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
 )
 def test_configuration_decides_who_is_let_in(path, key, status):
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             authorization = f"Bearer {key}" if key else ""
@@ -121,14 +121,14 @@
             assert answer.status == status
             assert len(runner.received) == (status == 200)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_idempotent_call_goes_to_a_second_endpoint_after_a_reset():
     # The first endpoint runs the call and resets the connection; nobody knows how
     # far it came. The call may run twice, so the caller gets the second's answer.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
             await site.ready(endpoints=2)
             for runner in runners:
@@ -141,7 +141,7 @@
             answers = [await site.call("/look/x") for _ in range(6)]
             assert [a.status for a in answers] == [200] * 6
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -154,7 +154,7 @@
     # not made. That holds also where the route allows two endpoints, which is for
     # bookings that the first one refused.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
             await site.ready(endpoints=2)
             for runner in runners:
@@ -164,14 +164,14 @@
             assert header_value(answer.headers, b"retry-after") is None
             assert sum(len(runner.ran) for runner in runners) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_full_endpoint_is_a_promise_that_the_booking_did_not_run():
     # The only endpoint refuses without running. The caller gets 503 with the time to
     # come back, and the promise is true: no endpoint has run it.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             runner.faults.append(Fault.SHED)
@@ -180,13 +180,13 @@
             assert retry_after(answer) > 0
             assert runner.ran == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_refused_booking_goes_to_the_other_endpoint():
     # The first endpoint says that it did not run the booking; the route allows two.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
             await site.ready(endpoints=2)
             for runner in runners:
@@ -198,14 +198,14 @@
             answers = [await site.call("/pay/x") for _ in range(4)]
             assert [a.status for a in answers] == [200] * 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_answer_after_a_second_one_is_the_requests_own():
     # An endpoint sends a second answer behind the first. It would be read as the
     # answer to the next request on that connection, perhaps of another caller.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             runner.faults.append(Fault.EXTRA)
@@ -215,12 +215,12 @@
                 assert answer.status == 200
                 assert answer.body == runner.body_of(runner.ran[-1].attempt)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_answer_without_a_length_is_passed_on_whole():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             runner.faults.append(Fault.UNFRAMED)
@@ -228,14 +228,14 @@
             assert answer.status == 200
             assert answer.body == runner.body_of(runner.ran[0].attempt)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_silent_endpoint_is_left_in_time_for_a_second_one():
     # One endpoint hangs. An idempotent call must not wait for the caller's deadline
     # there while another endpoint could answer it.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
             await site.ready(endpoints=2)
             runners[0].faults = [Fault.HANG] * 4
@@ -243,14 +243,14 @@
                 answer = await site.call("/look/x")
                 assert answer.status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_address_of_another_endpoint_is_not_used_for_its_predecessor():
     # An endpoint has gone and another one has its address. The request names the
     # one that was meant, the other refuses, and the caller gets an answer elsewhere.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             first = await site.add_runner("r1", CALLS)
             await site.add_runner("r2", CALLS)
             await site.ready(endpoints=2)
@@ -259,37 +259,37 @@
                 assert (await site.call("/look/x")).status == 200
             assert first.ran == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_leaving_endpoint_gets_nothing_more():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             leaving = await site.add_runner("r1", CALLS)
             await site.add_runner("r2", CALLS)
             await site.ready(endpoints=2)
             site.list_runner("r1", CALLS, state="draining")
             rows = site.nodes["a"].state.endpoints.rows
-            await until(lambda: rows[EndpointId("r1")].leaving)
+            await poll_until(lambda: rows[EndpointId("r1")].leaving)
             before = len(leaving.received)
             for _ in range(8):
                 assert (await site.call("/look/x")).status == 200
             assert len(leaving.received) == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_route_timeout_ends_the_wait():
     # The endpoint never answers a booking. The operators let callers wait for 0.4 s
     # on this route, whatever the caller would bear.
     async def scenario():
-        async with run_users_site() as site:
-            routes = users_configuration()["routes"]
+        async with run_entry_site() as site:
+            routes = entry_configuration()["routes"]
             routes[0]["timeoutMs"] = 400
             site.configure(2, routes=routes)
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
-            await until(lambda: site.nodes["a"].state.me.configuration == 2)
+            await poll_until(lambda: site.nodes["a"].state.me.configuration == 2)
             runner.faults.append(Fault.HANG)
             loop = asyncio.get_running_loop()
             started = loop.time()
@@ -298,18 +298,18 @@
             assert loop.time() - started > 0.35
             assert int(runner.ran[0].headers["x-poplarrelay-deadline-ms"]) <= 400
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_service_without_endpoints_is_refused_at_once():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await site.ready()
             answer = await site.call("/look/x")
             assert answer.status == 503
             assert retry_after(answer) > 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_waiting_requests_get_the_places_that_come_free():
@@ -317,58 +317,58 @@
     # together: the node keeps them waiting, and the endpoint sees no more than two.
     # Their target is seconds, so that none of them waits it out on a busy machine.
     patient = {"timeoutMs": 9000, "targetLatencyMs": 9000}
-    routes = [{**route, **patient} for route in users_configuration()["routes"]]
+    routes = [{**route, **patient} for route in entry_configuration()["routes"]]
 
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             site.configure(2, routes=routes)
             runner = await site.add_runner("r1", CALLS, pause_s=0.01)
             site.list_runner("r1", CALLS, slots=2)
             await site.ready(endpoints=1)
-            await until(lambda: site.nodes["a"].state.me.configuration == 2)
+            await poll_until(lambda: site.nodes["a"].state.me.configuration == 2)
             rows = site.nodes["a"].state.endpoints.rows
-            await until(lambda: rows[EndpointId("r1")].slots == 2)
+            await poll_until(lambda: rows[EndpointId("r1")].slots == 2)
             answers = await asyncio.gather(*(site.call("/look/x") for _ in range(10)))
             assert [a.status for a in answers] == [200] * 10
             assert runner.connections <= 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_places_that_came_free_in_a_standstill_are_given():
     # Guards against refusals of waiting calls while the endpoint has room again.
     patient = {"timeoutMs": 5000, "targetLatencyMs": 1000 * TARGET_S}
-    routes = [{**route, **patient} for route in users_configuration()["routes"]]
+    routes = [{**route, **patient} for route in entry_configuration()["routes"]]
 
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             site.configure(2, routes=routes)
             runner = await site.add_runner("r1", CALLS, pause_s=0.05)
             site.list_runner("r1", CALLS, slots=2)
             await site.ready(endpoints=1)
             state = site.nodes["a"].state
-            await until(lambda: state.me.configuration == 2)
+            await poll_until(lambda: state.me.configuration == 2)
             rows = state.endpoints.rows
-            await until(lambda: rows[EndpointId("r1")].slots == 2)
+            await poll_until(lambda: rows[EndpointId("r1")].slots == 2)
             calls = asyncio.gather(*(site.call("/look/x") for _ in range(6)))
-            await until(lambda: len(runner.ran) == 2)
+            await poll_until(lambda: len(runner.ran) == 2)
             time.sleep(WAIT_SHARE * TARGET_S)
             answers = await calls
             assert [answer.status for answer in answers].count(200) >= 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_flood_beyond_a_quota_is_told_when_to_come_back():
     # A team may send three calls at once and one a second. Its flood gets that and no
     # more: refusals take nothing from the quota, and give nothing back to it.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             tenants = [{"name": "alpha", "apiKeys": [KEY], "ratePerS": 1, "burst": 3}]
             site.configure(2, tenants=tenants)
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
-            await until(lambda: site.nodes["a"].state.me.configuration == 2)
+            await poll_until(lambda: site.nodes["a"].state.me.configuration == 2)
             answers = [await site.call("/look/x") for _ in range(30)]
             served = [a for a in answers if a.status == 200]
             refused = [a for a in answers if a.status == 429]
@@ -377,7 +377,7 @@
             assert len(runner.ran) == len(served)
             assert all(retry_after(answer) > 0 for answer in refused)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # what is not valid
@@ -424,7 +424,7 @@
     content, status
 ):
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             answer = await _raw(site, content)
@@ -432,12 +432,12 @@
             assert all(got.target == "/look/x" for got in runner.received)
             assert (await site.call("/look/x")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_body_in_chunks_arrives_whole():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             content = f"{HEAD}Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
@@ -446,43 +446,43 @@
             assert answer.split()[1] == b"200"
             assert runner.ran[0].body == b"hello, world"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoint_learns_that_the_caller_left():
     # A caller closes while its idempotent call is being worked on. The endpoint's
     # connection must close too, or it works on for nobody.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             runner.faults.append(Fault.HANG)
             connection = await site.open("/look/x")
-            await until(lambda: runner.ran)
+            await poll_until(lambda: runner.ran)
             assert len(runner._writers) == 1
             connection.abort()
-            await until(lambda: not runner._writers, "connection closed")
+            await poll_until(lambda: not runner._writers, "connection closed")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connections_to_endpoints_are_kept():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             for _ in range(10):
                 assert (await site.call("/look/x")).status == 200
             assert runner.connections == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_call_reaches_no_more_endpoints_than_its_route_allows():
     # All four endpoints run the call and reset the connection. The route allows two
     # of them; the budget for repeated sends would allow more.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             names = [f"r{number}" for number in range(4)]
             for name in names:
                 await site.add_runner(name, CALLS, faults=[Fault.RESET] * 4)
@@ -491,14 +491,14 @@
             assert answer.status == 502
             assert sum(len(site.runners[name].ran) for name in names) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_whose_handler_fails_gets_an_answer(monkeypatch):
     # A fault of the node's own, in the middle of a request. The caller must not wait
     # for an answer that nobody makes, and the node goes on serving.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             with monkeypatch.context() as patch:
@@ -506,14 +506,14 @@
                 assert (await site.call("/look/x")).status == 502
             assert (await site.call("/look/x")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_address_that_refuses_is_not_an_attempt():
     # One endpoint is gone without a word: its address refuses connections. The
     # booking has reached nobody, so it may go to the other one.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", 0))
                 dead = probe.getsockname()[1]
@@ -526,4 +526,4 @@
                 assert (await site.call("/book/x")).status == 200
             assert len(sound.ran) == 6
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_cells.py
+++ b/poplarrelay/entry/tests/test_cells.py
@@ -13,17 +13,17 @@
 
 from poplarrelay.entry.cells import Cell, CellSummary, cell_bits, cell_of, summarise
 from poplarrelay.entry.configuration import Quota
-from poplarrelay.entry.exchange import Hint
-from poplarrelay.entry.freshness import NEVER_S
 from poplarrelay.entry.gossip import MAX_DATAGRAM_BYTES
+from poplarrelay.entry.list_exchange import ListAnnouncement
+from poplarrelay.entry.list_freshness import NEVER_S
+from poplarrelay.entry.peer_rows import NodeState, encode_row
 from poplarrelay.entry.peers import (
     CELL_SILENCE_S,
-    SPEAKER_SILENCE_S,
+    REPRESENTATIVE_SILENCE_S,
     PeerTable,
     choose_addresses,
 )
 from poplarrelay.entry.quotas import Bucket
-from poplarrelay.entry.rows import NodeState, encode_row
 from poplarrelay.identifiers import NodeId, Offset, TeamId
 from poplarrelay.testing.rows import make_network, make_row, make_summary
 
@@ -48,16 +48,18 @@
     # The speaker of a cell is killed. Its own cell notices first; the other cells must
     # neither lose the rest of that cell nor go on naming the speaker.
     network = make_network(60, settle_s=6.0)
-    speaker = next(h for h, t in network.tables.items() if t.speaks(network.now))
-    network.dead.add(speaker)
+    representative = next(
+        h for h, t in network.tables.items() if t.is_representative(network.now)
+    )
+    network.dead.add(representative)
     for _ in network.run(CELL_SILENCE_S + 1.0):
         for host in network.alive:
             named = {row.host for row in network.tables[host].alive(network.now)}
             assert named >= set(network.alive) - {host}
     assert all(
-        speaker not in {row.host for row in table.alive(network.now)}
+        representative not in {row.host for row in table.alive(network.now)}
         for host, table in network.tables.items()
-        if host != speaker
+        if host != representative
     )
 
 
@@ -101,19 +103,19 @@
     table = _divided_table()
     cell = _other_cell(table)
     old = make_summary(cell, "a-speaker", 5, hosts=["10.0.0.1", "10.0.0.2"])
-    assert table.hear_summary(old, 10.0)
+    assert table.receive_summary(old, 10.0)
     new = make_summary(cell, "b-speaker", 9, hosts=["10.0.0.2"])
-    assert not table.hear_summary(new, 10.0 + SPEAKER_SILENCE_S / 2)
+    assert not table.receive_summary(new, 10.0 + REPRESENTATIVE_SILENCE_S / 2)
     newer = make_summary(cell, "b-speaker", 10, hosts=["10.0.0.2"])
-    assert table.hear_summary(newer, 10.2 + SPEAKER_SILENCE_S)
-    assert not table.hear_summary(old, 10.3 + SPEAKER_SILENCE_S)
-    hosts = {row.host for row in table.alive(10.3 + SPEAKER_SILENCE_S)}
+    assert table.receive_summary(newer, 10.2 + REPRESENTATIVE_SILENCE_S)
+    assert not table.receive_summary(old, 10.3 + REPRESENTATIVE_SILENCE_S)
+    hosts = {row.host for row in table.alive(10.3 + REPRESENTATIVE_SILENCE_S)}
     assert hosts == {"10.0.0.2"}
 
 
 def test_silent_cell_is_named_to_nobody():
     table = _divided_table()
-    table.hear_summary(make_summary(_other_cell(table), "s", 1, hosts=["h"]), 10.0)
+    table.receive_summary(make_summary(_other_cell(table), "s", 1, hosts=["h"]), 10.0)
     assert choose_addresses(table, 1, 10.1, Random(1)) == ["me:1", "h:1"]
     assert choose_addresses(table, 1, 10.1 + CELL_SILENCE_S, Random(1)) == ["me:1"]
 
@@ -128,7 +130,7 @@
         for node in map(NodeId, map(str, range(1000)))
         if cell_of(node, table.bits) == cell
     )
-    assert not table.hear(make_row(stranger), 10.0)
+    assert not table.receive(make_row(stranger), 10.0)
     assert table.counted(10.0) == []
 
 
@@ -137,26 +139,26 @@
     # which started later, has counted 300. Taken as a difference that would give the
     # team 4,700 tokens that are spent.
     bucket = Bucket.starting(QUOTA, 0.0, 40, True)
-    bucket.hear_cell("c", "first/0", 4000.0, 10, 0.0)
-    bucket.hear_cell("c", "first/0", 4400.0, 10, 0.4)
+    bucket.record_cell_usage("c", "first/0", 4000.0, 10, 0.0)
+    bucket.record_cell_usage("c", "first/0", 4400.0, 10, 0.4)
     bucket.refill(QUOTA, 0.4, 40)
     level = bucket.level
-    bucket.hear_cell("c", "second/0", 300.0, 10, 0.8)
+    bucket.record_cell_usage("c", "second/0", 300.0, 10, 0.8)
     assert bucket.level < level
     level = bucket.level
-    bucket.hear_cell("c", "second/0", 350.0, 10, 1.2)
+    bucket.record_cell_usage("c", "second/0", 350.0, 10, 1.2)
     assert level - bucket.level == pytest.approx(50.0)
 
 
 def test_cell_counts_as_its_nodes_in_shares_of_the_refill():
     bucket = Bucket.starting(QUOTA, 0.0, 40, True)
     bucket.level = 0.0
-    bucket.hear_cell("c", "r", 0.0, 39, 0.0)
-    assert bucket.heard_share(0.1, 40) == 1.0
+    bucket.record_cell_usage("c", "r", 0.0, 39, 0.0)
+    assert bucket.reachable_fraction(0.1, 40) == 1.0
     bucket.refill(QUOTA, 0.4, 40)
     assert bucket.level == pytest.approx(400.0)
     # Cut off: what is left is this node's own part.
-    assert bucket.heard_share(9.0, 40) == pytest.approx(1 / 40)
+    assert bucket.reachable_fraction(9.0, 40) == pytest.approx(1 / 40)
 
 
 @pytest.mark.parametrize(
@@ -210,15 +212,17 @@
     # learned of it only by asking, and sent it requests meanwhile.
     network = make_network(3, settle_s=2.0)
     node = network.nodes[network.alive[0]]
-    plain = Hint(Offset(0), NEVER_S)
+    plain = ListAnnouncement(Offset(0), NEVER_S)
     exchange: Any = Mock()
-    exchange.hint.return_value = exchange.plain_hint.return_value = plain
-    node.carry(exchange)
+    exchange.announcement.return_value = exchange.plain_announcement.return_value = (
+        plain
+    )
+    node.attach_list_exchange(exchange)
     message = {"from": "n", "wall": 0.0, "hint": plain.encode(), "rows": [], "ask": 1}
     node.datagram_received(zlib.compress(orjson.dumps(message)), ("10.1.0.1", 1))
-    assert exchange.hint.call_count == 0
+    assert exchange.announcement.call_count == 0
     node.run_round(())
-    assert exchange.hint.call_count == 1
+    assert exchange.announcement.call_count == 1
 
 
 def test_all_rows_and_summaries_arrive_where_one_datagram_is_too_small():
@@ -228,7 +232,7 @@
     rows = [encode_row(make_row(f"{rng.getrandbits(400):x}")) for _ in range(120)]
     network = make_network(3)
     node = network.nodes[network.alive[0]]
-    packets = node._packets(rows, [], Hint(Offset(0), NEVER_S))
+    packets = node._packets(rows, [], ListAnnouncement(Offset(0), NEVER_S))
     assert len(packets) > 1
     assert all(len(data) <= MAX_DATAGRAM_BYTES for data in packets)
     told = [
@@ -282,13 +286,13 @@
         self.started += 1
         return make_row(f"n{index}", started=self.started)
 
-    def _tell(self, speaker):
-        me = self.rows[speaker]
+    def _tell(self, representative):
+        me = self.rows[representative]
         me.version += 1
         counted = [*self.rows, *self.gone]
         summary = summarise(Cell(1, 0), me, self.rows, counted, me.version, self.epoch)
         spent = summary.spent.get(TEAM, 0.0)
-        self.bucket.hear_cell("c", summary.run, spent, summary.alive, self.now)
+        self.bucket.record_cell_usage("c", summary.run, spent, summary.alive, self.now)
 
     @rule(node=st.integers(0, 2), cost=st.integers(1, 50))
     def use(self, node, cost):
@@ -307,10 +311,10 @@
             self.gone.pop(0)
             self.epoch += 1
 
-    @rule(speaker=st.integers(0, 2))
-    def tell(self, speaker):
+    @rule(representative=st.integers(0, 2))
+    def tell(self, representative):
         self.now += 0.4
-        self._tell(speaker)
+        self._tell(representative)
 
     @invariant()
     def nothing_is_given_back(self):
--- a/poplarrelay/entry/tests/test_clock.py
+++ b/poplarrelay/entry/tests/test_clock.py
@@ -11,7 +11,7 @@
 def clock_of(own_jump, peer_jumps, true=1_000_000.0, monotonic=50.0):
     clock = ClusterClock(lambda: true + own_jump)
     for number, jump in enumerate(peer_jumps):
-        clock.hear(f"n{number}", true + jump, monotonic)
+        clock.receive(f"n{number}", true + jump, monotonic)
     return clock
 
 
@@ -49,5 +49,5 @@
         now = 0.2 * step
         waited_s = 0.8 if step % 2 else 0.0
         for peer in ("b", "c", "d"):
-            clock.hear(peer, 1000.0 + now - waited_s, now)
+            clock.receive(peer, 1000.0 + now - waited_s, now)
         assert clock.correction == 0.0
--- a/poplarrelay/entry/tests/test_crashes.py
+++ b/poplarrelay/entry/tests/test_crashes.py
@@ -100,9 +100,9 @@
     other.note_answer(TEAM, FINGERPRINT, 99.0)
     crash(one, RUNS, 100.0)
     assert blocked(one, 100.0)
-    other.hear(one.outgoing(100.0), "one", 100.1)
+    other.receive(one.outgoing(100.0), "one", 100.1)
     assert not blocked(other, 100.1)
-    one.hear(other.outgoing(100.2), "other", 100.3)
+    one.receive(other.outgoing(100.2), "other", 100.3)
     assert not blocked(one, 100.3)
 
 
@@ -158,7 +158,7 @@
     one, other = CrashTable(), CrashTable()
     for number in range(100):
         crash(one, [EndpointRun(f"{number:08x}")], 100.0 + number)
-        other.hear(one.outgoing(100.0 + number), "one", 100.0 + number)
+        other.receive(one.outgoing(100.0 + number), "one", 100.0 + number)
     for table in (one, other):
         (record,) = table.records
         assert len(record.crashes) <= MOST_RUNS
@@ -169,10 +169,10 @@
     # Guards against expired crashes that nodes keep sending back to each other.
     one, other = CrashTable(), CrashTable()
     crash(one, RUNS, 100.0)
-    other.hear(one.outgoing(100.0), "one", 100.0)
+    other.receive(one.outgoing(100.0), "one", 100.0)
     other.forget(101.0 + CRASH_MEMORY_S)
     stale = [record.encode(101.0 + CRASH_MEMORY_S) for record in one.records]
-    other.hear(stale, "one", 101.0 + CRASH_MEMORY_S)
+    other.receive(stale, "one", 101.0 + CRASH_MEMORY_S)
     assert other.records == []
 
 
@@ -184,7 +184,7 @@
     crash(network.crashes[one], RUNS, network.now)
     sent: list[bytes] = []
     monkeypatch.setattr(network.nodes[one], "_send", lambda data, _: sent.append(data))
-    network.nodes[one].tell_crashes()
+    network.nodes[one].send_crashes()
     message: dict[str, Any] = orjson.loads(decompress(sent[0]))
     assert {"from", "wall", "hint", "rows", "cells"} <= message.keys()
     network.nodes[other].datagram_received(sent[0], (one, 0))
@@ -197,7 +197,9 @@
 def test_malformed_news_of_crashes_changes_nothing(told, caplog):
     network = make_network(2, settle_s=2.0)
     one, other = network.alive
-    data = network.nodes[one]._encode([], network.nodes[one]._hint(), [], crashes=told)
+    data = network.nodes[one]._encode(
+        [], network.nodes[one]._announcement(), [], crashes=told
+    )
     network.nodes[other].datagram_received(data, (one, 0))
     assert "unreadable news" in caplog.messages
     assert network.crashes[other].records == []
@@ -223,10 +225,10 @@
         elif kind == "answer":
             tables[index].note_answer(TEAM, FINGERPRINT, now)
         else:
-            tables[number].hear(tables[index].outgoing(now), "peer", now)
+            tables[number].receive(tables[index].outgoing(now), "peer", now)
     for _ in range(4):
         for index, table in enumerate(tables):
             for record in table.records:
                 for other in tables[:index] + tables[index + 1 :]:
-                    other.hear([record.encode(now)], "peer", now)
+                    other.receive([record.encode(now)], "peer", now)
     assert len({blocked(table, now + ANSWER_MEMORY_S) for table in tables}) == 1
--- a/poplarrelay/entry/tests/test_crashing_requests.py
+++ b/poplarrelay/entry/tests/test_crashing_requests.py
@@ -13,13 +13,13 @@
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.identifiers import EndpointId
 from poplarrelay.standins.users.runner import Fault, ReceivedRequest
-from poplarrelay.testing.users import (
+from poplarrelay.testing.entry_site import (
     CALLS,
     STREAMS,
-    UsersSite,
-    play,
-    run_users_site,
-    until,
+    EntrySite,
+    poll_until,
+    run_entry_site,
+    run_scenario,
 )
 
 CRASHING_BODY = b"a body that no endpoint survives"
@@ -30,7 +30,7 @@
 ENDPOINTS = 8
 
 
-def arrivals(site: UsersSite) -> list[ReceivedRequest]:
+def arrivals(site: EntrySite) -> list[ReceivedRequest]:
     """Return the crashing requests that endpoints have begun to run, in order."""
     found = [
         request
@@ -42,7 +42,7 @@
 
 
 async def send_repeatedly(
-    site: UsersSite, path: str, for_s: float, **more: str
+    site: EntrySite, path: str, for_s: float, **more: str
 ) -> None:
     """Send the crashing request four times a second, to one node after the other."""
     end = monotonic() + for_s
@@ -56,7 +56,7 @@
             assert isinstance(sent.exception(), ExchangeFailed)
 
 
-async def add_crashing_endpoints(site: UsersSite, service: str) -> None:
+async def add_crashing_endpoints(site: EntrySite, service: str) -> None:
     """Start endpoints that take 0.8 s to restart after a crash."""
     for number in range(ENDPOINTS):
         await site.add_runner(f"r{number}", service)
@@ -77,7 +77,7 @@
 def test_request_that_crashes_endpoints_is_not_sent_on(path, service):
     # Guards against one request that crashes endpoint after endpoint.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await add_crashing_endpoints(site, service)
             await send_repeatedly(site, path, for_s=8.0)
             times = [request.at for request in arrivals(site)]
@@ -85,13 +85,13 @@
             late = [at for at in times if at > times[2] + SPREAD_S]
             assert len(late) <= MOST_LATE_ATTEMPTS
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_node_that_starts_later_knows_the_requests_that_crash_endpoints():
     # Guards against a new node that relays requests blocked elsewhere.
     async def scenario():
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             await add_crashing_endpoints(site, CALLS)
             await send_repeatedly(site, "/look/x", for_s=4.0)
             seed = site.nodes["a"].state.settings.listeners.control
@@ -104,13 +104,13 @@
                 await site.call("/look/x", "later", CRASHING_BODY)
             assert len(arrivals(site)) == known
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_other_requests_of_the_caller_are_served_while_one_is_refused():
     # Guards against blocking requests that ran at the same endpoints.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await add_crashing_endpoints(site, CALLS)
             sending = asyncio.create_task(send_repeatedly(site, "/look/x", for_s=5.0))
             end = monotonic() + 5.0
@@ -120,17 +120,17 @@
                 )
                 await asyncio.sleep(0.05)
             await sending
-            await until(lambda: len(arrivals(site)) >= 3)
+            await poll_until(lambda: len(arrivals(site)) >= 3)
             for node in site.nodes:
                 assert (await site.call("/look/x", node)).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_calls_that_all_endpoints_run_are_served_after_all_have_crashed():
     # Guards against blocking a harmless request in flight at each of them.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             for number in range(4):
                 await site.add_runner(f"r{number}", CALLS, pause_s=0.2)
             for name in site.nodes:
@@ -156,13 +156,13 @@
             for node in site.nodes:
                 assert (await site.call("/look/x", node)).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_failures_other_than_crashes_are_not_counted():
     # Guards against blocking requests for endpoints that are silent, full or gone.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             for fault in (Fault.HANG, Fault.SHED, Fault.ERROR, Fault.NOISE):
@@ -170,7 +170,7 @@
                 await site.call("/pay/x", body=CRASHING_BODY)
             runner.faults.append(Fault.HANG)
             connection = await site.open("/look/x", body=CRASHING_BODY)
-            await until(lambda: not runner.faults)
+            await poll_until(lambda: not runner.faults)
             connection.abort()
             runner.endpoint = EndpointId("r9")
             assert (await site.call("/book/x", body=CRASHING_BODY)).status == 503
@@ -178,31 +178,31 @@
             assert (await site.call("/book/x", body=CRASHING_BODY)).status == 503
             assert site.nodes["a"].state.crashes.noted == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_cut_off_by_a_leaving_endpoint_is_not_counted_as_a_crash():
     # Guards against blocking streams that a reclaim cuts off.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=50, pause_s=0.05)
             await site.ready(endpoints=1)
             call = asyncio.create_task(site.call("/brief/x"))
-            await until(lambda: runner.busy)
+            await poll_until(lambda: runner.busy)
             site.list_runner("r1", STREAMS, state="draining")
             rows = site.nodes["a"].state.endpoints.rows
-            await until(lambda: rows[EndpointId("r1")].leaving)
+            await poll_until(lambda: rows[EndpointId("r1")].leaving)
             runner.stop()
             with pytest.raises(ExchangeFailed):
                 await call
             assert site.nodes["a"].state.crashes.noted == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_refusal_shows_that_the_request_has_not_run_and_when_to_retry():
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await add_crashing_endpoints(site, CALLS)
             await send_repeatedly(site, "/book/x", for_s=3.0)
             known = len(arrivals(site))
@@ -214,18 +214,18 @@
             status = orjson.loads((await site.get("control", "/status")).body)
             assert len(status["blocked_requests"]) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.processes
 def test_node_processes_do_not_relay_a_request_that_crashes_endpoints(tmp_path):
     # Guards against a node process that misses or loses the crashes its peers report.
     async def scenario():
-        async with run_users_site(nodes=0) as site:
+        async with run_entry_site(nodes=0) as site:
             await site.start_processes("abc", tmp_path)
             await add_crashing_endpoints(site, CALLS)
             sending = asyncio.create_task(send_repeatedly(site, "/look/x", for_s=12.0))
-            await until(lambda: len(arrivals(site)) >= 3)
+            await poll_until(lambda: len(arrivals(site)) >= 3)
             await site.kill_and_restart_process("b")
             await sending
             times = [request.at for request in arrivals(site)]
@@ -233,4 +233,4 @@
             assert len(late) <= MOST_LATE_ATTEMPTS
             assert (await site.call("/look/x", "b")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_decisions.py
+++ b/poplarrelay/entry/tests/test_decisions.py
@@ -4,17 +4,21 @@
 
 import pytest
 
-from poplarrelay.entry.admission import Prospect, may_begin, retry_after_line
+from poplarrelay.entry.admission import (
+    FirstEventForecast,
+    retry_after_queue,
+    starts_in_time,
+)
 from poplarrelay.entry.budgets import SAFE_SHARE, RetryBudget
-from poplarrelay.entry.choosing import Wish, choose_endpoint
+from poplarrelay.entry.choosing import SelectionCriteria, choose_endpoint
 from poplarrelay.entry.configuration import Route, RouteKind, ServiceName, ServiceShare
 from poplarrelay.entry.endpoints import Endpoint
 from poplarrelay.entry.health import note_failure, note_success
+from poplarrelay.entry.request_queue import max_queue_wait, retry_after
 from poplarrelay.entry.settings import EntrySettings
 from poplarrelay.entry.state import EntryState
-from poplarrelay.entry.waiting import longest_wait, retry_after
 from poplarrelay.identifiers import DomainId, EndpointId, Incarnation
-from poplarrelay.testing.reading import ReadingSite
+from poplarrelay.testing.prefill_simulation import PrefillSimulation
 
 NORTH, SOUTH = DomainId("north"), DomainId("south")
 
@@ -26,8 +30,8 @@
     return row
 
 
-def wish(key=None, prompt=0, shared=0, tried=()):
-    return Wish(key, prompt, shared, tried, NORTH)
+def criteria(key=None, prompt=0, shared=0, tried=()):
+    return SelectionCriteria(key, prompt, shared, tried, NORTH)
 
 
 def chosen(rows, wanted, now=0.0, seed=1):
@@ -39,21 +43,21 @@
 class TestChoice:
     def test_full_endpoints_are_no_choice(self):
         rows = [endpoint("a", running=8), endpoint("b", elsewhere=8)]
-        assert choose_endpoint(rows, wish(), 0.0, Random(1)) is None
+        assert choose_endpoint(rows, criteria(), 0.0, Random(1)) is None
 
     def test_avoided_endpoint_is_used_only_alone(self):
         bad, good = endpoint("a"), endpoint("b", running=5)
         bad.health.avoided_until = 10.0
         for seed in range(20):
-            assert chosen([bad, good], wish(), 5.0, seed) is good
+            assert chosen([bad, good], criteria(), 5.0, seed) is good
         good.running = 8
-        assert chosen([bad, good], wish(), 5.0) is bad
-        assert chosen([bad, good], wish(), 11.0) is bad
+        assert chosen([bad, good], criteria(), 5.0) is bad
+        assert chosen([bad, good], criteria(), 11.0) is bad
 
     def test_endpoint_that_was_tried_is_not_tried_again(self):
         rows = [endpoint("a"), endpoint("b")]
         for seed in range(20):
-            assert chosen(rows, wish(tried=("a",)), seed=seed).endpoint == "b"
+            assert chosen(rows, criteria(tried=("a",)), seed=seed).endpoint == "b"
 
     def test_nodes_agree_on_a_prompts_home(self):
         # Nodes do not ask each other. A lost endpoint moves only its own prompts.
@@ -61,7 +65,7 @@
         keys = [f"k{i}" for i in range(200)]
 
         def homes(rows):
-            return {key: chosen(rows, wish(key, 9000, 5000)) for key in keys}
+            return {key: chosen(rows, criteria(key, 9000, 5000)) for key in keys}
 
         before, again = homes(rows), homes(list(reversed(rows)))
         assert all(before[k] is again[k] for k in keys)
@@ -76,7 +80,7 @@
         rows = [endpoint(f"e{i}", slots=64) for i in range(3)]
         order = []
         for _ in range(30):
-            choice = choose_endpoint(rows, wish("hot", 6000, 5000), 0.0, Random(1))
+            choice = choose_endpoint(rows, criteria("hot", 6000, 5000), 0.0, Random(1))
             assert choice is not None
             choice.endpoint.running += 1
             order.append(choice)
@@ -88,7 +92,7 @@
 
     def test_long_prompts_in_line_send_the_next_one_elsewhere(self):
         rows = [endpoint("a", prefill_tokens=40_000), endpoint("b", running=4)]
-        assert chosen(rows, wish("k", 9000, 1000)).endpoint == "b"
+        assert chosen(rows, criteria("k", 9000, 1000)).endpoint == "b"
 
     def test_many_nodes_with_old_news_do_not_all_choose_the_same_endpoint(self):
         # 61 nodes hear of each other's requests a second late, and see one engine
@@ -99,14 +103,14 @@
         rows.append(endpoint("new", slots=24))
         counts: dict[str, int] = {}
         for number in range(300):
-            row = chosen(rows, wish(f"k{number}", 3000, 1000), seed=number)
+            row = chosen(rows, criteria(f"k{number}", 3000, 1000), seed=number)
             counts[row.endpoint] = counts.get(row.endpoint, 0) + 1
         assert counts["new"] < 60
         assert len(counts) > 30
 
     def test_near_endpoint_goes_first_among_equals(self):
         rows = [endpoint("a", SOUTH), endpoint("b", NORTH)]
-        assert chosen(rows, wish()).endpoint == "b"
+        assert chosen(rows, criteria()).endpoint == "b"
 
 
 class TestHealth:
@@ -154,22 +158,30 @@
 
 class TestAdmission:
     def test_prompt_that_would_be_in_time_is_sent(self):
-        assert may_begin(Prospect(0.0, line_s=0.5, reading_s=0.2, target_s=0.8))
+        assert starts_in_time(
+            FirstEventForecast(0.0, queue_s=0.5, prefill_s=0.2, target_s=0.8)
+        )
 
     def test_prompt_that_would_be_late_is_told_when_to_come_back(self):
-        late = Prospect(0.0, line_s=1.5, reading_s=0.2, target_s=0.8)
-        assert not may_begin(late)
-        again = retry_after_line(late)
-        assert may_begin(Prospect(0.0, 1.5 - again, 0.2, 0.8))
+        late = FirstEventForecast(0.0, queue_s=1.5, prefill_s=0.2, target_s=0.8)
+        assert not starts_in_time(late)
+        again = retry_after_queue(late)
+        assert starts_in_time(FirstEventForecast(0.0, 1.5 - again, 0.2, 0.8))
 
     def test_what_has_waited_has_less_time_in_line(self):
-        assert not may_begin(Prospect(0.5, line_s=0.5, reading_s=0.2, target_s=0.8))
+        assert not starts_in_time(
+            FirstEventForecast(0.5, queue_s=0.5, prefill_s=0.2, target_s=0.8)
+        )
 
     def test_longest_prompts_are_served_where_the_line_is_short(self):
         # A prompt takes an engine longer than its target. It is late wherever it
         # goes; refused for that, it would never be served.
-        assert may_begin(Prospect(0.0, line_s=0.2, reading_s=1.5, target_s=0.8))
-        assert not may_begin(Prospect(0.0, line_s=0.5, reading_s=1.5, target_s=0.8))
+        assert starts_in_time(
+            FirstEventForecast(0.0, queue_s=0.2, prefill_s=1.5, target_s=0.8)
+        )
+        assert not starts_in_time(
+            FirstEventForecast(0.0, queue_s=0.5, prefill_s=1.5, target_s=0.8)
+        )
 
     @pytest.mark.parametrize("seed", range(3))
     def test_callers_are_served_in_time_after_the_loss_of_engines(self, seed):
@@ -178,16 +190,18 @@
         # event in time, since the line grows and grows. Where those that would be
         # late are refused, 87 to 92 do, and 4 to 8 are told when to come back.
         def admits(choice):
-            return may_begin(Prospect(0.0, choice.line_s, choice.reading_s, 0.8))
+            return starts_in_time(
+                FirstEventForecast(0.0, choice.queue_s, choice.prefill_s, 0.8)
+            )
 
         shares = []
         for decide in (None, admits):
-            site = ReadingSite(6, (60_000.0,) * 3, True, seed, decide)
-            site.play(40.0, per_s=14.0, tokens=4_000, shared=10_000)
-            waits = [prompt.wait_s for prompt in site.played]
+            simulation = PrefillSimulation(6, (60_000.0,) * 3, True, seed, decide)
+            simulation.run(40.0, per_s=14.0, tokens=4_000, shared=10_000)
+            waits = [prompt.wait_s for prompt in simulation.simulated]
             in_time = sum(wait is not None and wait <= 0.8 for wait in waits)
             shares.append(in_time / len(waits))
-            longest = sorted(site.played, key=lambda prompt: prompt.tokens)
+            longest = sorted(simulation.simulated, key=lambda prompt: prompt.tokens)
             longest = longest[-len(longest) // 10 :]
             served = sum(prompt.wait_s is not None for prompt in longest)
             assert served >= 0.5 * len(longest)
@@ -234,7 +248,7 @@
         for _ in range(5):
             budget = state.budget(ServiceName("s"))
             taken += sum(budget.take(1.0, nodes=1) for _ in range(20))
-            state.take_settings(settings)
+            state.apply_settings(settings)
         assert taken == SAFE_SHARE * 10
 
 
@@ -251,7 +265,7 @@
             priority=0,
             shares=(ServiceShare(ServiceName("s"), 1.0),),
         )
-        wait = longest_wait(route, remaining_s)
+        wait = max_queue_wait(route, remaining_s)
         assert wait <= 0.2
         assert wait <= remaining_s / 2
 
--- a/poplarrelay/entry/tests/test_departures.py
+++ b/poplarrelay/entry/tests/test_departures.py
@@ -17,7 +17,13 @@
 from poplarrelay.entry.http.pool import ConnectionPool
 from poplarrelay.entry.state import EntryState
 from poplarrelay.identifiers import EndpointId
-from poplarrelay.testing.users import CALLS, UsersSite, play, run_users_site, until
+from poplarrelay.testing.entry_site import (
+    CALLS,
+    EntrySite,
+    poll_until,
+    run_entry_site,
+    run_scenario,
+)
 
 #: Seconds after the store's acknowledgement from which a leaving endpoint may get
 #: nothing more, as in the settings of the test's nodes.
@@ -31,20 +37,20 @@
     return any(row.endpoint == name and row.accepts_work for row in rows)
 
 
-async def start(site: UsersSite) -> None:
+async def start(site: EntrySite) -> None:
     """Add two endpoints, and wait until all nodes know them and each other."""
     for runner in ("r1", "r2"):
         await site.add_runner(runner, CALLS)
     for name in site.nodes:
         await site.ready(name, endpoints=2)
     states = [node.state for node in site.nodes.values()]
-    await until(lambda: all(len(s.peers.seen) == len(states) - 1 for s in states))
+    await poll_until(lambda: all(len(s.peers.seen) == len(states) - 1 for s in states))
 
 
-async def assert_left_within_bound(site: UsersSite, node: str, acked_at: float) -> None:
+async def assert_left_within_bound(site: EntrySite, node: str, acked_at: float) -> None:
     """Check that a node stops sending to r1 in time, and goes on sending to r2."""
     state = site.nodes[node].state
-    await until(lambda: not accepts(state, "r1"), "departure known")
+    await poll_until(lambda: not accepts(state, "r1"), "departure known")
     assert monotonic() - acked_at <= BOUND_S
     assert accepts(state, "r2")
 
@@ -57,19 +63,19 @@
     # had rightly gone for 2.3 s more (`record did not come back` in its log, where
     # all other nodes said `record removed`).
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await start(site)
-            store, door = site.store, site.doors["a"]
+            store, store_listener = site.store, site.store_listeners["a"]
             before = store.reads[TOPIC]
-            await until(lambda: store.reads[TOPIC] > before)
-            door.missed[TOPIC] = 1
+            await poll_until(lambda: store.reads[TOPIC] > before)
+            store_listener.unanswered_reads[TOPIC] = 1
             if record == "removed":
                 store.put(TOPIC, "r1", None)
             else:
                 site.list_runner("r1", CALLS, state="draining")
             await assert_left_within_bound(site, "a", monotonic())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_news_that_waited_on_the_way_does_not_make_a_list_fresh():
@@ -78,36 +84,36 @@
     # store, and sent to an endpoint that had left 2.5 s and more before. The store
     # answers b all the time: an age that b cannot know must not keep it from asking.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await start(site)
             reading = asyncio.create_task(_keep_reading(site.nodes["a"].state))
-            site.delay_news("b", 2.5)
+            site.delay_gossip("b", 2.5)
             await asyncio.sleep(4.0)
             site.list_runner("r1", CALLS, state="draining")
             await assert_left_within_bound(site, "b", monotonic())
             reading.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_departure_in_a_history_that_was_dropped_is_known_in_time():
     # The store drops its history, and with it the removal of an endpoint's record that
     # this node has not read yet. Reading on is refused, so the newest records are read.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await start(site)
             site.store.put(TOPIC, "r1", None)
             site.store.compact(TOPIC)
             await assert_left_within_bound(site, "a", monotonic())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_whose_endpoint_leaves_while_it_connects_goes_elsewhere(monkeypatch):
     # A new connection takes up to 0.6 s, and the endpoint's departure becomes known in
     # that time. Nothing has been sent: a booking may still go to the other endpoint.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await start(site)
             rows = site.nodes["a"].state.endpoints.rows
             left = rows[EndpointId("r1")]
@@ -125,23 +131,26 @@
             assert left.leaving
             assert site.runners["r1"].received == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_node_that_cannot_vouch_for_its_list_prefers_endpoints_that_answered(caplog):
     # The store answers nobody for longer than the bound, and there are no peers. Any
     # endpoint may have left but the one that has just answered; the log says so.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await start(site)
             state = site.nodes["a"].state
-            site.doors["a"].silent_topics.add(TOPIC)
-            await until(lambda: not state.freshness.vouched(monotonic()))
-            await until(lambda: "endpoints not vouched for" in caplog.text)
+            site.store_listeners["a"].silent_topics.add(TOPIC)
+            await poll_until(lambda: not state.freshness.within_bound(monotonic()))
+            await poll_until(lambda: "endpoints not vouched for" in caplog.text)
             answered, silent = (
                 state.endpoints.rows[EndpointId(n)] for n in ("r1", "r2")
             )
-            answered.vouched_at, silent.vouched_at = monotonic(), float("-inf")
+            answered.last_accepting_at, silent.last_accepting_at = (
+                monotonic(),
+                float("-inf"),
+            )
             for _ in range(6):
                 assert (await site.call("/look/x")).status == 200
             assert len(site.runners["r1"].ran) == 6
@@ -150,13 +159,13 @@
             assert len(site.runners["r2"].ran) == 1
 
     caplog.set_level(logging.INFO)
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def _keep_reading(state: EntryState) -> None:
     """Let a node read the store twice a second, as many nodes together do."""
     while True:
-        state.freshness.distrust()
+        state.freshness.invalidate()
         await asyncio.sleep(0.5)
 
 
@@ -165,16 +174,16 @@
     # a peer for its whole list when its own was 1.6 s old; news of the departure itself
     # was not passed on, so b was the last to know by two seconds.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await start(site)
-            site.doors["b"].silent_topics.add(TOPIC)
+            site.store_listeners["b"].silent_topics.add(TOPIC)
             await asyncio.sleep(2.0)
             site.list_runner("r1", CALLS, state="draining")
             others = [site.nodes[name].state for name in ("a", "c")]
-            await until(lambda: any(not accepts(s, "r1") for s in others))
+            await poll_until(lambda: any(not accepts(s, "r1") for s in others))
             known_at = monotonic()
             state = site.nodes["b"].state
-            await until(lambda: not accepts(state, "r1"), "departure known")
+            await poll_until(lambda: not accepts(state, "r1"), "departure known")
             assert monotonic() - known_at < 0.5
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_duties.py
+++ b/poplarrelay/entry/tests/test_duties.py
@@ -7,17 +7,23 @@
 import orjson
 import pytest
 
-from poplarrelay.entry.duties import (
+from poplarrelay.entry.duty_lease import (
     CANDIDATES,
-    DutyChange,
     DutyLease,
+    LeaseChange,
     is_candidate,
 )
-from poplarrelay.entry.dutying import GROUP, LEDGER_TOPIC, UsageLedger
+from poplarrelay.entry.duty_worker import GROUP, LEDGER_TOPIC, UsageLedger
 from poplarrelay.exception import PlatformUnavailable
 from poplarrelay.identifiers import NodeId, TeamId
 from poplarrelay.standins.users.store import Outage
-from poplarrelay.testing.users import CALLS, STREAMS, play, run_users_site, until
+from poplarrelay.testing.entry_site import (
+    CALLS,
+    STREAMS,
+    poll_until,
+    run_entry_site,
+    run_scenario,
+)
 
 
 def holder(site):
@@ -30,20 +36,20 @@
     def test_holder_stops_before_the_store_may_pass_the_duty_on(self):
         # Renewals fail, as when the store is away. The node must not act at a time
         # at which another one may hold the duty already.
-        lease = DutyLease(ttl_s=2.0, wait_s=0.0, acted_at=-10.0)
-        assert lease.renew(True, 5, 0.0) is DutyChange.TAKEN
+        lease = DutyLease(ttl_s=2.0, wait_s=0.0, last_action_at=-10.0)
+        assert lease.renew(True, 5, 0.0) is LeaseChange.TAKEN
         assert lease.may_act(1.3)
         assert not lease.may_act(1.5)
 
     def test_duty_that_comes_back_waits_for_the_nodes_own_last_act(self):
         # The duty goes from this node to another and back within a second. Acting at
         # once would make the order of holders A, B, A within the bound of 3 s.
-        lease = DutyLease(ttl_s=2.0, wait_s=3.0, acted_at=-10.0)
+        lease = DutyLease(ttl_s=2.0, wait_s=3.0, last_action_at=-10.0)
         lease.renew(True, 5, 0.0)
         assert lease.may_act(0.1)
-        lease.note_act(0.1)
-        assert lease.renew(False, 6, 0.5) is DutyChange.LOST
-        assert lease.renew(True, 7, 1.0) is DutyChange.TAKEN
+        lease.record_action(0.1)
+        assert lease.renew(False, 6, 0.5) is LeaseChange.LOST
+        assert lease.renew(True, 7, 1.0) is LeaseChange.TAKEN
         assert not lease.may_act(1.1)
         lease.renew(True, 7, 2.5)
         assert lease.may_act(3.6)
@@ -58,9 +64,9 @@
         assert lease.token == 9
 
     def test_frozen_holder_does_not_act(self):
-        lease = DutyLease(ttl_s=2.0, wait_s=0.0, acted_at=-10.0)
+        lease = DutyLease(ttl_s=2.0, wait_s=0.0, last_action_at=-10.0)
         lease.renew(True, 5, 0.0)
-        lease.give_up()
+        lease.relinquish()
         assert not lease.may_act(0.1)
 
 
@@ -88,7 +94,7 @@
 
 def test_usage_of_all_nodes_is_reported_once():
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await site.add_runner("r1", CALLS)
             for name in site.nodes:
                 await site.ready(name, endpoints=1)
@@ -100,10 +106,10 @@
                 assert all(c == found[0] for found in windows.values() for c in found)
                 return sum(found[0].get("alpha", 0) for found in windows.values())
 
-            await until(lambda: total() == 12, "all requests reported")
+            await poll_until(lambda: total() == 12, "all requests reported")
             assert len({call.holder for call in site.cloud.accepted}) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("lost", [False, True], ids=["answered", "answers lost"])
@@ -112,17 +118,17 @@
     # Its successor knows other counts, as requests came late. It must repeat the
     # decided counts, or the platform accepts two different reports of one window.
     async def scenario():
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             await site.add_runner("r1", CALLS)
             for name in site.nodes:
                 await site.ready(name, endpoints=1)
-            await until(lambda: site.cloud.windows(), "a first report")
+            await poll_until(lambda: site.cloud.windows(), "a first report")
             first = holder(site)
             site.cloud.lose_answers = lost
             for name in site.nodes:
                 await site.call("/look/x", node=name)
             reported = len(site.cloud.windows())
-            await until(lambda: len(site.cloud.windows()) > reported + 1)
+            await poll_until(lambda: len(site.cloud.windows()) > reported + 1)
             site.cloud.lose_answers = False
             await site.kill_node(first)
             # The successor has heard of more requests since.
@@ -130,7 +136,7 @@
             for window in site.cloud.windows():
                 successor.usage.windows[window] = {TeamId("alpha"): 99}
             windows = len(site.cloud.windows())
-            await until(lambda: len(site.cloud.windows()) > windows + 1)
+            await poll_until(lambda: len(site.cloud.windows()) > windows + 1)
             for counts in site.cloud.windows().values():
                 assert all(found == counts[0] for found in counts)
             tokens = [call.token for call in site.cloud.accepted]
@@ -138,50 +144,52 @@
             by_token = {(c.token, c.holder) for c in site.cloud.accepted}
             assert len(by_token) == len({token for token, _ in by_token})
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_partitions_dealt_anew_leave_one_holder():
     # The store gives the duty to another node without being asked. The old holder
     # learns of it at its next renewal; its calls in between bear the smaller token.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await site.add_runner("r1", CALLS)
             for name in site.nodes:
                 await site.ready(name, endpoints=1)
-            await until(lambda: site.cloud.windows())
+            await poll_until(lambda: site.cloud.windows())
             before = holder(site)
-            site.store.deal_anew(GROUP)
-            await until(lambda: holder(site) not in (None, before), "another holder")
+            site.store.rebalance(GROUP)
+            await poll_until(
+                lambda: holder(site) not in (None, before), "another holder"
+            )
             windows = len(site.cloud.windows())
-            await until(lambda: len(site.cloud.windows()) > windows + 2)
+            await poll_until(lambda: len(site.cloud.windows()) > windows + 2)
             order = [call.holder for call in site.cloud.accepted]
             changes = sum(a != b for a, b in pairwise(order))
             assert changes <= 1
             for counts in site.cloud.windows().values():
                 assert all(found == counts[0] for found in counts)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_duties_are_caught_up_after_an_outage():
     # The store is silent for some windows. Nobody may act meanwhile; afterwards the
     # missing windows are reported.
     async def scenario():
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             await site.add_runner("r1", CALLS)
             for name in site.nodes:
                 await site.ready(name, endpoints=1)
-            await until(lambda: site.cloud.windows())
-            for door in site.doors.values():
-                door.outage = Outage.SILENT
+            await poll_until(lambda: site.cloud.windows())
+            for store_listener in site.store_listeners.values():
+                store_listener.outage = Outage.SILENT
             await site.call("/look/x")
             await asyncio.sleep(3.5)
             # The silent outage must have lasted for several windows.
             during = set(site.cloud.windows())
-            for door in site.doors.values():
-                door.outage = Outage.NONE
-            await until(
+            for store_listener in site.store_listeners.values():
+                store_listener.outage = Outage.NONE
+            await poll_until(
                 lambda: sum(c[0].get("alpha", 0) for c in site.cloud.windows().values())
             )
             windows = sorted(site.cloud.windows())
@@ -189,7 +197,7 @@
             assert during < set(windows)
             assert site.store.records(LEDGER_TOPIC)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def scaling_configuration():
@@ -205,7 +213,7 @@
 
 def test_reclaimable_endpoints_are_ordered_in_each_domain():
     async def scenario():
-        async with run_users_site(nodes=1) as site:
+        async with run_entry_site(nodes=1) as site:
             site.configure(2, **scaling_configuration())
             await site.add_runner("r1", STREAMS)
             await site.ready(endpoints=1)
@@ -217,9 +225,9 @@
                     if call.value.get("preemptible")
                 }
 
-            await until(lambda: ordered() == {"north", "south"})
+            await poll_until(lambda: ordered() == {"north", "south"})
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_wave_does_not_cancel_endpoints_that_are_booting():
@@ -227,7 +235,7 @@
     # when a wave takes the south's. They are needed more than ever; the orders for
     # them must not be lowered to what serves at that moment, which is none.
     async def scenario():
-        async with run_users_site(nodes=1) as site:
+        async with run_entry_site(nodes=1) as site:
             site.configure(2, **scaling_configuration())
             await site.add_runner("r1", STREAMS)
             await site.ready(endpoints=1)
@@ -240,25 +248,25 @@
                     and call.value.get("preemptible", False) is reclaimable
                 ]
 
-            await until(lambda: desired("north", True) and desired("south", True))
+            await poll_until(lambda: desired("north", True) and desired("south", True))
             site.runners["r2"] = site.runners["r1"]
             southern: dict[str, Any] = {"zone": "south", "preemptible": True}
             site.list_runner("r2", STREAMS, **southern)
             rows = site.nodes["a"].state.endpoints.rows
-            await until(lambda: "r2" in rows)
+            await poll_until(lambda: "r2" in rows)
             site.list_runner("r1", STREAMS, state="draining")
             site.list_runner("r2", STREAMS, state="draining", **southern)
             # That on-demand endpoints are ordered shows that the wave was noticed.
-            await until(lambda: max(desired("south", False), default=0) > 0)
+            await poll_until(lambda: max(desired("south", False), default=0) > 0)
             orders = desired("north", True)
             assert orders == sorted(orders)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_order_is_repeated_where_the_answer_was_lost():
     async def scenario():
-        async with run_users_site(nodes=1) as site:
+        async with run_entry_site(nodes=1) as site:
             site.cloud.lose_answers = True
             site.configure(2, **scaling_configuration())
             await site.add_runner("r1", STREAMS)
@@ -269,9 +277,9 @@
                     c for c in site.cloud.accepted if c.value.get("zone") == "south"
                 ]
 
-            await until(lambda: len(orders()) >= 2)
+            await poll_until(lambda: len(orders()) >= 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_counts_whose_append_was_not_answered_stay_as_decided(monkeypatch):
@@ -280,16 +288,16 @@
     # the newer counts under the same sequence number the store repeats its first
     # answer and keeps the first record: a successor then reports other counts.
     async def scenario():
-        async with run_users_site(nodes=1) as site:
+        async with run_entry_site(nodes=1) as site:
             await site.add_runner("r1", CALLS)
             await site.ready("a", endpoints=1)
-            await until(lambda: site.cloud.windows(), "a first report")
+            await poll_until(lambda: site.cloud.windows(), "a first report")
             node = site.nodes["a"]
             append = node.duties._store.append
             lost: list[bytes] = []
 
-            async def lose_one(topic, partition, records, appender=None):
-                end = await append(topic, partition, records, appender)
+            async def lose_one(topic, partition, records, producer=None):
+                end = await append(topic, partition, records, producer)
                 if topic == LEDGER_TOPIC and records and not lost:
                     lost.extend(records)
                     value = orjson.loads(records[0])
@@ -298,12 +306,12 @@
                 return end
 
             monkeypatch.setattr(node.duties._store, "append", lose_one)
-            await until(lambda: lost)
+            await poll_until(lambda: lost)
             window = orjson.loads(lost[0])["window"]
-            await until(lambda: max(site.cloud.windows()) > window + 1)
+            await poll_until(lambda: max(site.cloud.windows()) > window + 1)
             records = [orjson.loads(r) for r in site.store.records(LEDGER_TOPIC) if r]
             kept = {record["window"]: record["counts"] for record in reversed(records)}
             for number, counts in site.cloud.windows().items():
                 assert counts == [kept[number]] * len(counts)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_duties_machine.py
+++ b/poplarrelay/entry/tests/test_duties_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from poplarrelay.entry.duties import DutyLease
+from poplarrelay.entry.duty_lease import DutyLease
 
 NODES = ("a", "b", "c")
 TTL_S, WAIT_S = 2.2, 3.0
@@ -56,7 +56,7 @@
         self.fence = -1
 
     def _lease(self):
-        return DutyLease(TTL_S, WAIT_S, acted_at=self.now)
+        return DutyLease(TTL_S, WAIT_S, last_action_at=self.now)
 
     @rule(seconds=st.floats(0.01, 1.5))
     def pass_time(self, seconds):
@@ -82,7 +82,7 @@
             self.renew(node)
             for _ in range(len(NODES)):
                 if self.group.owner != node:
-                    self.deal_anew()
+                    self.rebalance()
             self.renew_and_act(node, seconds)
 
     @rule(node=st.sampled_from(NODES), seconds=st.floats(2.21, 3.0))
@@ -99,13 +99,13 @@
         self.group.join(node, self.now)
 
     @rule()
-    def deal_anew(self):
+    def rebalance(self):
         self.group.deal()
         self.dealt = dict.fromkeys(NODES, True)
 
     @rule(node=st.sampled_from(NODES))
     def freeze(self, node):
-        self.leases[node].give_up()
+        self.leases[node].relinquish()
         self.now += 4.0
 
     @rule(node=st.sampled_from(NODES))
@@ -120,9 +120,9 @@
         # Only a deal that nobody asked for may leave a holder with an old belief;
         # a lease that lapses is given up before the store passes the duty on.
         assert self.group.owner in (node, None) or self.dealt[node]
-        lease.note_act(self.now)
+        lease.record_action(self.now)
         if lease.token < self.fence:
-            lease.give_up()
+            lease.relinquish()
             return
         self.fence = lease.token
         self.accepted.append((self.now, node, lease.token))
--- a/poplarrelay/entry/tests/test_freshness.py
+++ b/poplarrelay/entry/tests/test_freshness.py
@@ -9,28 +9,34 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from poplarrelay.entry.exchange import (
+from poplarrelay.entry.list_exchange import (
     FANOUT,
     MOST_BYTES,
     TELL_S,
-    Answer,
-    Hint,
-    Question,
+    ChangesReply,
+    ChangesRequest,
+    ListAnnouncement,
 )
-from poplarrelay.entry.freshness import ListFreshness, ListTimes
+from poplarrelay.entry.list_freshness import ListFreshness, ListTimes
+from poplarrelay.entry.peer_sync import PeerSync
 from poplarrelay.entry.settings import BoundSettings
 from poplarrelay.entry.state import EntryState
-from poplarrelay.entry.syncing import PeerSync
 from poplarrelay.identifiers import EndpointId, Offset
-from poplarrelay.testing.lists import ListNetwork, endpoint_record
-from poplarrelay.testing.users import CALLS, UsersSite, play, run_users_site, until
+from poplarrelay.testing.endpoint_lists import EndpointListNetwork, endpoint_record
+from poplarrelay.testing.entry_site import (
+    CALLS,
+    EntrySite,
+    poll_until,
+    run_entry_site,
+    run_scenario,
+)
 
 TIMES = ListTimes.from_config(BoundSettings())
 
 
-def network(count: int) -> ListNetwork:
+def network(count: int) -> EndpointListNetwork:
     """Return nodes that have all read the same two endpoints."""
-    found = ListNetwork.of(count, Random(7))
+    found = EndpointListNetwork.of(count, Random(7))
     for name in ("r1", "r2"):
         found.write(name, endpoint_record())
     for node in found.nodes.values():
@@ -50,10 +56,10 @@
         asker.exchange.tick(asker.now())
         lists.now += 0.7
         peer.read()
-        lists.deliver_next(Question)
+        lists.deliver_next(ChangesRequest)
         lists.now += 0.9
-        lists.deliver_next(Answer)
-        assert asker.fresh_at == pytest.approx(asked_at)
+        lists.deliver_next(ChangesReply)
+        assert asker.confirmed_at == pytest.approx(asked_at)
 
     def test_older_peer_changes_nothing(self):
         lists = network(2)
@@ -61,27 +67,29 @@
         lists.now += 2.0
         asker.exchange.tick(asker.now())
         asker.read()
-        before = asker.fresh_at
-        while lists.letters:
+        before = asker.confirmed_at
+        while lists.in_transit:
             lists.deliver()
-        assert asker.fresh_at == before
-        assert peer.fresh_at < before
+        assert asker.confirmed_at == before
+        assert peer.confirmed_at < before
 
     def test_hint_alone_confirms_nothing(self):
         # Nobody can tell how long a hint was on its way; it brings a departure, which
         # holds whenever it comes, and shows whom to ask.
         lists = network(2)
         asker, peer = lists.nodes.values()
-        before = asker.fresh_at
+        before = asker.confirmed_at
         lists.now += 0.5
         lists.write("r1", None)
         peer.read()
         peer.exchange.tick(peer.now())
         lists.now += 3.0
-        lists.deliver_next(Hint)
+        lists.deliver_next(ListAnnouncement)
         assert not asker.uses("r1")
-        assert asker.fresh_at == before
-        assert [type(letter.message) for letter in lists.letters] == [Question]
+        assert asker.confirmed_at == before
+        assert [type(envelope.message) for envelope in lists.in_transit] == [
+            ChangesRequest
+        ]
 
     def test_answer_that_does_not_hold_all_does_not_confirm(self):
         # More endpoints came than a datagram holds. The asker takes what fits, knows
@@ -89,15 +97,15 @@
         lists = network(2)
         asker, peer = lists.nodes.values()
         asker.read()
-        before = asker.fresh_at
+        before = asker.confirmed_at
         for number in range(200):
             lists.write(f"n{number}", endpoint_record())
         lists.now += 0.5
         peer.read()
         peer.exchange.tick(peer.now())
-        while lists.letters:
+        while lists.in_transit:
             lists.deliver()
-        assert asker.fresh_at == before
+        assert asker.confirmed_at == before
         assert 2 < asker.state.freshness.as_of < lists.topic.end
         assert asker.state.freshness.due_in_s(asker.now()) <= 0
         lists.now += 0.1
@@ -112,10 +120,10 @@
         lists.now += 2.0
         asker.exchange.tick(asker.now())
         peer.read()
-        lists.deliver_next(Question)
-        asker.state.freshness.distrust(asker.now() + 0.001)
-        lists.deliver_next(Answer)
-        assert asker.fresh_at == float("-inf")
+        lists.deliver_next(ChangesRequest)
+        asker.state.freshness.invalidate(asker.now() + 0.001)
+        lists.deliver_next(ChangesReply)
+        assert asker.confirmed_at == float("-inf")
 
     def test_two_lists_of_the_same_records_are_read_anew(self):
         # One node missed a removal, for whatever reason. It and a peer know the same
@@ -127,16 +135,16 @@
         lists.now += 2.0
         peer.read()
         asker.exchange.tick(asker.now())
-        while lists.letters:
+        while lists.in_transit:
             lists.deliver()
-        assert asker.whole_reads_asked == 1
+        assert asker.full_reads_requested == 1
 
 
 def test_after_a_freeze_the_store_is_read_at_once():
     mine = ListFreshness(Random(1), TIMES)
     mine.note_read(5.0, Offset(3))
     assert mine.due_in_s(5.0) >= TIMES.earliest_read_s
-    mine.distrust()
+    mine.invalidate()
     assert mine.due_in_s(5.1) < 0
 
 
@@ -155,7 +163,7 @@
     # again, and the request's own way: all of it within the bound of the settings.
     times = ListTimes.from_config(BoundSettings(leaving_endpoint_ms=bound_ms))
     longest_s = times.latest_read_s + times.answer_s + times.pause_s + times.answer_s
-    assert longest_s <= times.vouched_s < times.bound_s == bound_ms / 1000
+    assert longest_s <= times.max_list_age_s < times.bound_s == bound_ms / 1000
 
 
 def test_claims_that_go_round_do_not_keep_a_list_fresh():
@@ -164,9 +172,9 @@
     # lists are old, else an endpoint that has left would get requests.
     lists = network(3)
     read_at = lists.now
-    lists.run(2.0, step_s=0.02, way_s=0.06)
+    lists.run(2.0, step_s=0.02, latency_s=0.06)
     nodes = lists.nodes.values()
-    assert all(node.fresh_at <= read_at for node in nodes)
+    assert all(node.confirmed_at <= read_at for node in nodes)
     assert all(node.state.freshness.due_in_s(node.now()) < 0 for node in nodes)
 
 
@@ -179,10 +187,10 @@
     first = lists.nodes["n0"]
     first.read()
     read_at = lists.now
-    lists.run(4.0, step_s=0.02, way_s=0.2)
+    lists.run(4.0, step_s=0.02, latency_s=0.2)
     nodes = lists.nodes.values()
-    assert all(node.fresh_at <= read_at for node in nodes)
-    assert sum(node.fresh_at > read_at - 0.7 for node in nodes) >= 58
+    assert all(node.confirmed_at <= read_at for node in nodes)
+    assert sum(node.confirmed_at > read_at - 0.7 for node in nodes) >= 58
 
 
 def test_departure_reaches_all_nodes_within_tenths():
@@ -191,7 +199,7 @@
     lists.now += 0.7
     lists.write("r1", endpoint_record("draining"))
     lists.nodes["n0"].read()
-    lists.run(0.4, step_s=0.02, way_s=0.01)
+    lists.run(0.4, step_s=0.02, latency_s=0.01)
     assert sum(node.uses("r1") for node in lists.nodes.values()) == 0
     assert all(node.uses("r2") for node in lists.nodes.values())
 
@@ -200,21 +208,21 @@
     # Sixty nodes hear that one has read a newer list. When all asked it for the whole,
     # sixty answers of 45 KB kept its small link busy for seconds.
     lists = network(60)
-    lists.run(0.1, step_s=0.02, way_s=0.01)
+    lists.run(0.1, step_s=0.02, latency_s=0.01)
     for number in range(100):
         lists.write(f"n{number}", endpoint_record())
     lists.now += 0.5
     lists.nodes["n0"].read()
     for node in lists.nodes.values():
         node.exchange.tick(node.now())
-    assert len(lists.letters) == FANOUT
-    while any(letter.sender == "n0" for letter in lists.letters):
+    assert len(lists.in_transit) == FANOUT
+    while any(envelope.sender == "n0" for envelope in lists.in_transit):
         lists.deliver()
-        for letter in lists.letters:
-            if isinstance(letter.message, Answer):
-                records = [change.content or b"" for change in letter.message.changes]
+        for envelope in lists.in_transit:
+            if isinstance(envelope.message, ChangesReply):
+                records = [change.content or b"" for change in envelope.message.changes]
                 assert sum(map(len, records)) <= MOST_BYTES
-    asked = [letter for letter in lists.letters if letter.receiver == "n0"]
+    asked = [envelope for envelope in lists.in_transit if envelope.receiver == "n0"]
     assert len(asked) <= FANOUT
 
 
@@ -225,35 +233,37 @@
     lists = network(count)
     for node in lists.nodes.values():
         node.state.freshness.nodes = count
-    lists.run(12.0, step_s=0.005, way_s=0.01, answer_after_s=answer_s)
+    lists.run(12.0, step_s=0.005, latency_s=0.01, answer_after_s=answer_s)
     alone = count * 12.0 / 1.2
     assert sum(node.reads for node in lists.nodes.values()) < 0.5 * alone
-    oldest_at = min(node.fresh_at for node in lists.nodes.values())
-    assert lists.now - oldest_at < TIMES.vouched_s
+    oldest_at = min(node.confirmed_at for node in lists.nodes.values())
+    assert lists.now - oldest_at < TIMES.max_list_age_s
 
 
 def test_leaving_endpoint_is_known_everywhere_in_time_with_few_reads():
     # Eight nodes serve and confirm each other's lists, so that few of them read the
     # store. An endpoint leaves: all of them learn it nevertheless.
     async def scenario():
-        async with run_users_site(nodes=8) as site:
+        async with run_entry_site(nodes=8) as site:
             await site.add_runner("r1", CALLS)
             await site.add_runner("r2", CALLS)
             for name in site.nodes:
                 await site.ready(name, endpoints=2)
             states = [node.state for node in site.nodes.values()]
-            await until(lambda: all(len(s.peers.seen) == 7 for s in states))
+            await poll_until(lambda: all(len(s.peers.seen) == 7 for s in states))
             began, before = monotonic(), _reads(site)
-            await until(lambda: all(s.freshness.fresh_at > began + 3 for s in states))
+            await poll_until(
+                lambda: all(s.freshness.confirmed_at > began + 3 for s in states)
+            )
             passed_s = monotonic() - began
             # Each by itself, the nodes would read eight times in 1.2 s at the least.
             alone = len(states) * passed_s / 1.2
             assert 1 <= _reads(site) - before < 0.5 * alone
             site.list_runner("r1", CALLS, state="draining")
-            await until(lambda: all(not _accepts(s, "r1") for s in states))
+            await poll_until(lambda: all(not _accepts(s, "r1") for s in states))
             assert all(_accepts(state, "r2") for state in states)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_newer_list_is_not_asked_of_the_peer_that_told_of_it():
@@ -261,23 +271,25 @@
     # answers with all endpoints would keep it busy for seconds. Nobody asks a peer for
     # the whole list while its own is young; once it is old, any peer is asked.
     async def scenario():
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             for name in site.nodes:
                 await site.ready(name)
             node = site.nodes["a"]
             state = node.state
-            await until(lambda: state.peers.alive(monotonic()))
+            await poll_until(lambda: state.peers.alive(monotonic()))
             sync = PeerSync(state, node.endpoints, control_port=1)
             host = state.peers.alive(monotonic())[0].host
             now = monotonic()
             state.freshness.note_read(now, state.freshness.as_of)
-            hint = Hint(Offset(state.freshness.as_of + 100), age_s=0.0)
-            node.exchange.hear_hint(host, hint, now + 0.1)
+            announcement = ListAnnouncement(
+                Offset(state.freshness.as_of + 100), age_s=0.0
+            )
+            node.exchange.receive_announcement(host, announcement, now + 0.1)
             assert sync.peer_to_ask(now + 0.1) is None
-            state.freshness.distrust()
+            state.freshness.invalidate()
             assert sync.peer_to_ask(now + 0.1) == host
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_node_that_has_ended_tells_nothing():
@@ -286,11 +298,11 @@
         errors = []
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda loop, context: errors.append(context))
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             for name in site.nodes:
                 await site.ready(name)
             node = site.nodes["a"]
-            await until(lambda: node.state.peers.alive(monotonic()))
+            await poll_until(lambda: node.state.peers.alive(monotonic()))
             node.exchange.note_departure(EndpointId("r1"))
             await site.kill_node("a")
             sent = node.gossip.sent_datagrams
@@ -299,7 +311,7 @@
             assert node.gossip.sent_datagrams == sent
         assert not errors
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_old_list_alone_does_not_keep_an_endpoint_that_is_gone():
@@ -307,37 +319,39 @@
     # slow reads. An endpoint's record is removed: it gets no request more, since only
     # records that lapse while the store is away may come back.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             state = site.nodes["a"].state
             row = next(iter(state.endpoints.rows.values()))
-            state.freshness.distrust()
+            state.freshness.invalidate()
             site.store.put("keyed.servers", "r1", None)
-            await until(lambda: row.gone or row.suspended_until is not None)
+            await poll_until(lambda: row.gone or row.suspended_until is not None)
             assert row.gone
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_node_without_peers_reads_by_itself():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await site.ready()
             freshness = site.nodes["a"].state.freshness
             for _ in range(3):
-                read_at = freshness.fresh_at
-                await until(partial(_confirmed_after, freshness, read_at))
-                assert freshness.fresh_at - read_at >= freshness.times.earliest_read_s
+                read_at = freshness.confirmed_at
+                await poll_until(partial(_confirmed_after, freshness, read_at))
+                assert (
+                    freshness.confirmed_at - read_at >= freshness.times.earliest_read_s
+                )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def _confirmed_after(freshness: ListFreshness, at: float) -> bool:
-    return freshness.fresh_at > at
+    return freshness.confirmed_at > at
 
 
-def _reads(site: UsersSite) -> int:
+def _reads(site: EntrySite) -> int:
     """Return the reads of the endpoints' topic that the store has answered."""
     return site.store.reads["keyed.servers"]
 
--- a/poplarrelay/entry/tests/test_limited_endpoints.py
+++ b/poplarrelay/entry/tests/test_limited_endpoints.py
@@ -12,22 +12,22 @@
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.identifiers import EndpointId
 from poplarrelay.standins.users.runner import RunnerStandIn
-from poplarrelay.testing.permits import allowed, most_in_window
-from poplarrelay.testing.users import (
+from poplarrelay.testing.entry_site import (
     CALLS,
     STREAMS,
-    UsersSite,
-    play,
-    run_users_site,
-    until,
+    EntrySite,
+    poll_until,
+    run_entry_site,
+    run_scenario,
 )
+from poplarrelay.testing.permits import allowed, max_in_window
 
 #: Seconds after which all nodes must keep to a newly stated limit.
 KNOWN_S = 3.0
 
 
 async def send_calls(
-    site: UsersSite, path: str, per_s: float, for_s: float
+    site: EntrySite, path: str, per_s: float, for_s: float
 ) -> list[int | None]:
     """Send calls at a rate to all nodes in turn; return statuses, None if aborted."""
 
@@ -47,7 +47,7 @@
 
 
 async def add_endpoints(
-    site: UsersSite, service: str, limits: Sequence[str | None]
+    site: EntrySite, service: str, limits: Sequence[str | None]
 ) -> list[RunnerStandIn]:
     """Start one endpoint per stated limit and wait until all nodes list them."""
     runners = []
@@ -66,23 +66,23 @@
 def test_endpoint_gets_no_more_than_it_states_from_all_nodes(path, service, limit):
     # Guards against nodes that ignore the limit, or that each use all of it.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             runners = await add_endpoints(site, service, [str(limit), None, None, None])
             start = monotonic()
             statuses = await send_calls(site, path, per_s=50, for_s=8.0)
             times = [request.at for request in runners[0].received]
-            assert most_in_window(times, start + KNOWN_S) <= allowed(limit)
+            assert max_in_window(times, start + KNOWN_S) <= allowed(limit)
             # The limit is used, and the other endpoints serve the remaining requests.
             assert any(at >= start + KNOWN_S for at in times)
             assert statuses.count(200) == len(statuses)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_calls_beyond_all_limits_are_refused_and_told_when_to_retry():
     # Guards against calls that time out waiting for endpoints at their limit.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             runners = await add_endpoints(site, CALLS, ["2", "2"])
             await send_calls(site, "/look/x", per_s=10, for_s=1.0)
             start = monotonic()
@@ -99,15 +99,15 @@
             assert len(refused) < len(answers)
             for runner in runners:
                 at = [request.at for request in runner.received]
-                assert most_in_window(at, start + KNOWN_S) <= allowed(2.0)
+                assert max_in_window(at, start + KNOWN_S) <= allowed(2.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_changed_or_cleared_limit_takes_effect():
     # Guards against stale limits.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             runners = await add_endpoints(site, CALLS, ["1", None])
             await send_calls(site, "/look/x", per_s=20, for_s=3.0)
             runners[0].limit = "6"
@@ -115,7 +115,7 @@
             start = monotonic()
             await send_calls(site, "/look/x", per_s=30, for_s=5.0)
             late = [r.at for r in runners[0].received if r.at >= start]
-            assert most_in_window(late, start) <= allowed(6.0)
+            assert max_in_window(late, start) <= allowed(6.0)
             limits = {
                 node.state.endpoints.rows[EndpointId("r0")].limit_per_s
                 for node in site.nodes.values()
@@ -129,47 +129,47 @@
                 row.limit_per_s is None for each in rows for row in each.values()
             )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_next_run_of_an_endpoint_starts_without_a_limit():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await add_endpoints(site, CALLS, ["1"])
             site.list_runner("r0", CALLS, born=1000)
             rows = site.nodes["a"].state.endpoints.rows
             endpoint = EndpointId("r0")
-            await until(lambda: rows[endpoint].started_ms == 1000)
+            await poll_until(lambda: rows[endpoint].started_ms == 1000)
             await send_calls(site, "/look/x", per_s=5, for_s=0.5)
             assert rows[endpoint].limit_per_s == 1.0
             await site.restart_runner("r0", CALLS)
-            await until(lambda: rows[endpoint].started_ms not in (None, 1000))
+            await poll_until(lambda: rows[endpoint].started_ms not in (None, 1000))
             assert rows[endpoint].limit_per_s is None
             assert set(await send_calls(site, "/look/x", 20, for_s=1.0)) == {200}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_resumed_streams_keep_to_the_limit():
     # Guards against resumed streams that are sent without a permit.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             runners = await add_endpoints(site, STREAMS, ["1", None, None])
             for runner in runners[1:]:
                 runner.break_after = 3
             start = monotonic()
             await send_calls(site, "/draft/x", per_s=30, for_s=8.0)
             times = [request.at for request in runners[0].received]
-            assert most_in_window(times, start + KNOWN_S) <= allowed(1.0)
+            assert max_in_window(times, start + KNOWN_S) <= allowed(1.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.processes
 def test_node_processes_keep_to_a_limit_while_one_is_restarted(tmp_path):
     # Guards against exceeding the limit when a node is killed and rejoins.
     async def scenario():
-        async with run_users_site(nodes=0) as site:
+        async with run_entry_site(nodes=0) as site:
             await site.start_processes("abc", tmp_path)
             runners = await add_endpoints(site, CALLS, ["2", None, None])
             start = monotonic()
@@ -178,7 +178,7 @@
             await site.kill_and_restart_process("b")
             await sending
             times = [request.at for request in runners[0].received]
-            assert most_in_window(times, start + KNOWN_S) <= allowed(2.0)
+            assert max_in_window(times, start + KNOWN_S) <= allowed(2.0)
             assert any(at > start + 2 * KNOWN_S for at in times)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_lists.py
+++ b/poplarrelay/entry/tests/test_lists.py
@@ -20,17 +20,17 @@
 )
 
 from poplarrelay.entry.configuration import ServiceName
-from poplarrelay.entry.listing import COMEBACK_S, EndpointChange
+from poplarrelay.entry.endpoint_list import COMEBACK_S, EndpointChange
 from poplarrelay.identifiers import EndpointId, Offset
-from poplarrelay.testing.lists import ListNetwork, endpoint_record
+from poplarrelay.testing.endpoint_lists import EndpointListNetwork, endpoint_record
 
 R1 = EndpointId("r1")
 NAMES = st.sampled_from(["r1", "r2", "r3"])
 
 
-def network(count: int = 2) -> ListNetwork:
+def network(count: int = 2) -> EndpointListNetwork:
     """Return nodes that have all read the same two endpoints."""
-    found = ListNetwork.of(count, Random(3))
+    found = EndpointListNetwork.of(count, Random(3))
     for name in ("r1", "r2"):
         found.write(name, endpoint_record())
     for node in found.nodes.values():
@@ -46,7 +46,7 @@
     lists.write("r3", endpoint_record())
     mine.read()
     older = peer.endpoints.all()
-    mine.endpoints.take_all(older, peer.state.freshness.as_of, "peer")
+    mine.endpoints.replace_all(older, peer.state.freshness.as_of, "peer")
     assert mine.uses("r3")
 
 
@@ -57,7 +57,7 @@
     lists.write("r1", None)
     lists.write("r2", endpoint_record("draining"))
     mine.read()
-    mine.endpoints.take_all(older, peer.state.freshness.as_of, "peer")
+    mine.endpoints.replace_all(older, peer.state.freshness.as_of, "peer")
     assert not mine.uses("r1")
     assert not mine.uses("r2")
 
@@ -67,7 +67,7 @@
     mine, peer = lists.nodes.values()
     lists.write("r1", None)
     peer.read(whole=True)
-    mine.endpoints.take_all(peer.endpoints.all(), peer.state.freshness.as_of, "peer")
+    mine.endpoints.replace_all(peer.endpoints.all(), peer.state.freshness.as_of, "peer")
     assert not mine.uses("r1")
     assert mine.uses("r2")
 
@@ -81,7 +81,7 @@
     lists.write("r1", endpoint_record(sequence=2))
     mine.read()
     others = [change for change in peer.endpoints.all() if change.endpoint != "r1"]
-    mine.endpoints.take_all(others, as_of, "peer")
+    mine.endpoints.replace_all(others, as_of, "peer")
     assert mine.uses("r1")
 
 
@@ -99,7 +99,7 @@
     mine.read()
     mine.reads_failed_s = 0.0
     assert mine.uses("r1")
-    lists.run(0.3, step_s=0.02, way_s=0.01)
+    lists.run(0.3, step_s=0.02, latency_s=0.01)
     assert not mine.uses("r1")
 
 
@@ -124,7 +124,7 @@
     first.read()
     first.reads_failed_s = 0.0
     assert first.uses("r1")
-    lists.run(0.3, step_s=0.02, way_s=0.01)
+    lists.run(0.3, step_s=0.02, latency_s=0.01)
     assert not any(node.uses("r1") for node in lists.nodes.values())
 
 
@@ -137,7 +137,7 @@
         node.reads_failed_s = 4.0
         node.read()
         node.reads_failed_s = 0.0
-    lists.run(COMEBACK_S - 0.5, step_s=0.02, way_s=0.01)
+    lists.run(COMEBACK_S - 0.5, step_s=0.02, latency_s=0.01)
     assert all(node.uses("r1") for node in lists.nodes.values())
     lists.now += 0.6
     for node in lists.nodes.values():
@@ -153,7 +153,7 @@
     lists.now += 5.0
     for offset in (5, 6):
         lapse = EndpointChange(R1, Offset(offset), None, lapsed=True)
-        mine.endpoints.take_changes([lapse], "peer")
+        mine.endpoints.apply_changes([lapse], "peer")
     assert mine.uses("r1")
 
 
@@ -165,14 +165,14 @@
     lists.write("r1", endpoint_record(born=1000))
     mine.read()
     row = mine.state.endpoints.rows[R1]
-    row.running, row.reading_speed, row.health.failures_in_row = 3, 1.0, 5
+    row.running, row.prefill_speed, row.health.failures_in_row = 3, 1.0, 5
     lists.write("r1", endpoint_record(born=2000, slots=9))
     mine.read()
     again = mine.state.endpoints.rows[R1]
     assert row.gone
     assert again is not row
     assert (again.running, again.slots, again.started_ms) == (0, 9, 2000)
-    assert again.reading_speed == 0.0
+    assert again.prefill_speed == 0.0
     assert again.health.failures_in_row == 0
     assert mine.state.endpoints.of(again.service).count(again) == 1
 
@@ -213,7 +213,7 @@
     assert mine.uses("r2")
     assert list(mine.endpoints.unreadable) == [R1]
     assert caplog.text.count("endpoint unreadable") == 1
-    lists.run(0.3, step_s=0.02, way_s=0.01)
+    lists.run(0.3, step_s=0.02, latency_s=0.01)
     assert not peer.uses("r1")
     lists.write("r1", endpoint_record())
     mine.read()
@@ -233,7 +233,7 @@
 
     def __init__(self):
         super().__init__()
-        self.lists = ListNetwork.of(4, Random(5))
+        self.lists = EndpointListNetwork.of(4, Random(5))
         for node in self.lists.nodes.values():
             node.read()
         self.kept = []
@@ -281,15 +281,17 @@
         node = self.node(number)
         node.exchange.tick(node.now())
 
-    @precondition(lambda self: self.lists.letters)
+    @precondition(lambda self: self.lists.in_transit)
     @rule(data=st.data())
     def deliver(self, data):
-        self.lists.deliver(data.draw(st.integers(0, len(self.lists.letters) - 1)))
+        self.lists.deliver(data.draw(st.integers(0, len(self.lists.in_transit) - 1)))
 
-    @precondition(lambda self: self.lists.letters)
+    @precondition(lambda self: self.lists.in_transit)
     @rule(data=st.data())
     def lose(self, data):
-        self.lists.letters.pop(data.draw(st.integers(0, len(self.lists.letters) - 1)))
+        self.lists.in_transit.pop(
+            data.draw(st.integers(0, len(self.lists.in_transit) - 1))
+        )
 
     @rule(number=st.integers(0, 3))
     def keep_whole_list(self, number):
@@ -301,20 +303,20 @@
     def take_whole_list(self, number, data):
         changes, as_of = data.draw(st.sampled_from(self.kept))
         freshness = self.node(number).state.freshness
-        self.node(number).endpoints.take_all(changes, as_of, "peer")
+        self.node(number).endpoints.replace_all(changes, as_of, "peer")
         freshness.confirm(float("-inf"), as_of, "peer")
 
     @rule(number=st.integers(0, 3))
     def freeze(self, number):
         node = self.node(number)
-        node.state.freshness.distrust(node.now())
+        node.state.freshness.invalidate(node.now())
 
     @invariant()
     def lists_hold_what_they_vouch_for(self):
         topic = self.lists.topic
         for node in self.lists.nodes.values():
             for name in ("r1", "r2", "r3"):
-                in_time = topic.written(name, node.fresh_at - 1e-6)
+                in_time = topic.written(name, node.confirmed_at - 1e-6)
                 as_of = node.state.freshness.as_of
                 before = [
                     offset
--- a/poplarrelay/entry/tests/test_nodes.py
+++ b/poplarrelay/entry/tests/test_nodes.py
@@ -7,15 +7,15 @@
 from poplarrelay.entry.http.connection import header_value
 from poplarrelay.entry.peers import choose_addresses
 from poplarrelay.standins.users.runner import Fault
-from poplarrelay.testing.users import (
+from poplarrelay.testing.entry_site import (
     CALLS,
     STREAMS,
-    all_named,
     hosts,
-    named,
-    play,
-    run_users_site,
-    until,
+    poll_until,
+    resolve_hosts,
+    run_entry_site,
+    run_scenario,
+    wait_until_resolved,
 )
 
 
@@ -23,29 +23,29 @@
     # Three nodes start; one dies without a word. The others name it until it has been
     # silent for a while, and a new one as soon as it serves.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await site.ready("a")
-            await all_named(site, "a", hosts(site, "a", "b", "c"))
+            await wait_until_resolved(site, "a", hosts(site, "a", "b", "c"))
             await site.kill_node("c")
-            await all_named(site, "a", hosts(site, "a", "b"))
+            await wait_until_resolved(site, "a", hosts(site, "a", "b"))
             seed = site.nodes["b"].state.settings.listeners.control
             await site.add_node("d", seed)
-            await all_named(site, "a", hosts(site, "a", "b", "d"))
+            await wait_until_resolved(site, "a", hosts(site, "a", "b", "d"))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_nodes_find_each_other_without_seeds():
     # All seeds of a new node are gone. It finds the others by what they have written
     # to the store.
     async def scenario():
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             await site.ready("a")
             await site.add_node("lonely", "127.0.0.250:1")
             await site.ready("lonely")
-            await all_named(site, "lonely", hosts(site, "a", "b", "lonely"))
+            await wait_until_resolved(site, "lonely", hosts(site, "a", "b", "lonely"))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stopping_node_finishes_what_runs_and_is_named_no_more():
@@ -53,17 +53,17 @@
     # new callers are sent elsewhere at once, and those with an older answer are
     # still served, with a word to use another connection.
     async def scenario():
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             runner = await site.add_runner("r1", STREAMS, events=20, pause_s=0.05)
             await site.add_runner("r2", CALLS)
             for name in site.nodes:
                 await site.ready(name, endpoints=2)
-            await all_named(site, "a", hosts(site, "a", "b"))
+            await wait_until_resolved(site, "a", hosts(site, "a", "b"))
             connection = await site.open("/draft/x", node="b")
             await connection.response_head()
             site.nodes["b"].stop()
             assert (await site.get("readiness", "/api/readyz", "b")).status == 503
-            await all_named(site, "a", hosts(site, "a"))
+            await wait_until_resolved(site, "a", hosts(site, "a"))
             answer = await site.call("/look/x", node="b")
             assert answer.status == 200
             assert (b"Connection", b"close") in answer.headers
@@ -71,14 +71,14 @@
             assert body.endswith(runner.event_of(20))
             await site.end_node("b")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stopping_node_refuses_what_it_could_not_finish():
     # A caller still has the address of a node that was told to stop a while ago. Its
     # stream might be cut by the node's end: it is refused as not run, to go elsewhere.
     async def scenario():
-        async with run_users_site(nodes=1) as site:
+        async with run_entry_site(nodes=1) as site:
             runner = await site.add_runner("r1", STREAMS)
             await site.add_runner("r2", CALLS)
             await site.ready(endpoints=2)
@@ -89,42 +89,42 @@
             assert runner.received == []
             assert (await site.call("/look/x")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stopping_node_ends_within_its_grace():
     # An endpoint never ends its work. The node gives the rest up before the platform
     # kills it.
     async def scenario():
-        async with run_users_site(nodes=1, stop_grace_s=3) as site:
+        async with run_entry_site(nodes=1, stop_grace_s=3) as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             runner.faults.append(Fault.HANG)
             await site.open("/book/x", X_Poplarrelay_Deadline_Ms="60000")
-            await until(lambda: runner.received)
+            await poll_until(lambda: runner.received)
             site.nodes["a"].stop()
             async with asyncio.timeout(3):
                 await site.end_node("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_thawed_node_does_not_take_its_peers_for_dead():
     # The node stood still for a minute. Its table says that nobody has been heard;
     # naming only itself would send all callers to one node.
     async def scenario():
-        async with run_users_site(nodes=3) as site:
+        async with run_entry_site(nodes=3) as site:
             await site.ready("a")
             expected = hosts(site, "a", "b", "c")
-            await all_named(site, "a", expected)
+            await wait_until_resolved(site, "a", expected)
             node = site.nodes["a"]
             for seen in node.state.peers.seen.values():
-                seen.heard_at -= 60
+                seen.last_seen_at -= 60
             # At once: news that comes meanwhile would hide what the freeze did.
             table = node.state.peers
             assert len(choose_addresses(table, 1, monotonic(), Random(1))) == 1
-            node.thaw(60.0)
-            assert await named(site, "a") == expected
+            node.resume_after_freeze(60.0)
+            assert await resolve_hosts(site, "a") == expected
             assert not node.duties.lease.held
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_permits.py
+++ b/poplarrelay/entry/tests/test_permits.py
@@ -16,7 +16,7 @@
     WINDOW_S,
     PermitNetwork,
     allowed,
-    most_in_window,
+    max_in_window,
 )
 from poplarrelay.testing.rows import make_network
 
@@ -38,7 +38,7 @@
         now += pause
         if issuer.issue(ENDPOINT, RUN, limit, 1.0, now).granted:
             issued.append(now)
-    assert most_in_window(issued) <= 5.0 * WINDOW_S + 2
+    assert max_in_window(issued) <= 5.0 * WINDOW_S + 2
 
 
 def test_idle_issuer_does_not_accumulate_permits():
@@ -78,7 +78,7 @@
     for _ in network.run(12.0):
         pass
     times = network.request_times()
-    assert most_in_window(times) <= allowed(limit)
+    assert max_in_window(times) <= allowed(limit)
     assert len(times) >= 0.6 * limit * 12.0
 
 
@@ -89,11 +89,11 @@
     for _ in network.run(6.0):
         pass
     hosts = sorted(network.brokers)
-    network.cut_into(set(hosts[: nodes // 3]), set(hosts[nodes // 3 :]))
+    network.partition_into(set(hosts[: nodes // 3]), set(hosts[nodes // 3 :]))
     for _ in network.run(8.0):
         pass
     times = network.request_times()
-    assert most_in_window(times) <= allowed(5.0)
+    assert max_in_window(times) <= allowed(5.0)
     # After detection, the shares of both groups add up to the limit.
     late = [at for at in times if at > network.now - WINDOW_S]
     assert len(late) <= 5.0 * WINDOW_S + 2
@@ -105,11 +105,11 @@
     for _ in network.run(4.0):
         pass
     issuers = {h for h, b in network.brokers.items() if b.issuer._next_at}
-    network.cut_into(set(network.brokers) - issuers)
+    network.partition_into(set(network.brokers) - issuers)
     for _ in network.run(8.0):
         pass
     times = network.request_times()
-    assert most_in_window(times) <= allowed(5.0)
+    assert max_in_window(times) <= allowed(5.0)
     assert len([at for at in times if at > network.now - WINDOW_S]) >= 10
 
 
@@ -154,7 +154,7 @@
     network = PermitNetwork.starting(2)
     broker, row = network.brokers["host-0"], network.rows["host-0"]
     row.started_ms = StartTime(7)
-    broker.hear("host-1", [["limit", ENDPOINT, 6, 1.0, 0.0]])
+    broker.receive("host-1", [["limit", ENDPOINT, 6, 1.0, 0.0]])
     assert row.limit_per_s is None
 
 
@@ -174,7 +174,7 @@
     network = make_network(2, settle_s=2.0)
     one, other = network.alive
     permits = PermitNetwork.starting(2)
-    network.nodes[other].carry_permits(permits.brokers["host-0"])
+    network.nodes[other].attach_permits(permits.brokers["host-0"])
     network.nodes[one].send_permits([other], [message])
     network.step()
     assert permits.rows["host-0"].limit_per_s is None
--- a/poplarrelay/entry/tests/test_places.py
+++ b/poplarrelay/entry/tests/test_places.py
@@ -13,16 +13,18 @@
 from poplarrelay.entry.endpoints import Endpoint
 from poplarrelay.entry.outcomes import Refusal, RefusalReason
 from poplarrelay.entry.permits import PermitBroker
-from poplarrelay.entry.places import Places
 from poplarrelay.entry.settings import EntrySettings
+from poplarrelay.entry.slots import SlotAllocator
 from poplarrelay.entry.state import EntryState
 from poplarrelay.identifiers import DomainId, EndpointId, Incarnation
-from poplarrelay.testing.cases import make_case
+from poplarrelay.testing.request_contexts import make_request_context
 
 SERVICE = "desk"
 
 
-def make_places(limits: list[float | None]) -> tuple[Places, PermitBroker, EntryState]:
+def make_slot_allocator(
+    limits: list[float | None],
+) -> tuple[SlotAllocator, PermitBroker, EntryState]:
     """Return the places of a node whose peer issues permits for all endpoints."""
     listeners = dict.fromkeys(
         ("callers", "readiness", "discovery", "control"), "127.0.0.1:1"
@@ -51,7 +53,7 @@
         Mock(),
         monotonic,
     )
-    return Places(state, Mock(), broker), broker, state
+    return SlotAllocator(state, Mock(), broker), broker, state
 
 
 async def run_other_tasks(rounds: int = 5) -> None:
@@ -63,10 +65,10 @@
 def test_call_is_refused_without_a_wait_if_no_permit_comes_in_time():
     # Guards against calls that wait for endpoints at their limit until they time out.
     async def scenario():
-        places, _, state = make_places([2.0, 2.0])
+        slot_allocator, _, state = make_slot_allocator([2.0, 2.0])
         for row in state.endpoints.rows.values():
             row.next_permit_at = row.next_ask_at = monotonic() + 0.6
-        call = asyncio.create_task(places.take(make_case(SERVICE)))
+        call = asyncio.create_task(slot_allocator.take(make_request_context(SERVICE)))
         await run_other_tasks()
         refusal = call.result()
         assert isinstance(refusal, Refusal)
@@ -79,14 +81,15 @@
 def test_waiting_calls_are_refused_once_permits_are_denied():
     # Guards against calls that keep waiting when no permit can arrive in time.
     async def scenario():
-        places, broker, _ = make_places([50.0, 50.0])
+        slot_allocator, broker, _ = make_slot_allocator([50.0, 50.0])
         waiting = [
-            asyncio.create_task(places.take(make_case(SERVICE))) for _ in range(3)
+            asyncio.create_task(slot_allocator.take(make_request_context(SERVICE)))
+            for _ in range(3)
         ]
         await run_other_tasks()
         assert not any(task.done() for task in waiting)
-        broker.hear("elsewhere", [["permit", "e0", None, 0.9]])
-        broker.hear("elsewhere", [["permit", "e1", None, 0.9]])
+        broker.receive("elsewhere", [["permit", "e0", None, 0.9]])
+        broker.receive("elsewhere", [["permit", "e1", None, 0.9]])
         await run_other_tasks()
         for task in waiting:
             refusal = task.result()
@@ -99,10 +102,12 @@
 def test_waiting_call_gets_the_place_once_a_permit_comes():
     # Guards against permits that expire unused while calls wait for them.
     async def scenario():
-        places, broker, state = make_places([2.0])
-        waiting = asyncio.create_task(places.take(make_case(SERVICE)))
+        slot_allocator, broker, state = make_slot_allocator([2.0])
+        waiting = asyncio.create_task(
+            slot_allocator.take(make_request_context(SERVICE))
+        )
         await run_other_tasks()
-        broker.hear("elsewhere", [["permit", "e0", None, 0.0]])
+        broker.receive("elsewhere", [["permit", "e0", None, 0.0]])
         await run_other_tasks()
         choice = waiting.result()
         assert not isinstance(choice, Refusal)
@@ -115,9 +120,9 @@
 def test_endpoint_without_a_limit_is_used_beside_one_at_its_limit():
     # Guards against refusals while another endpoint has capacity.
     async def scenario():
-        places, _, _ = make_places([2.0, None])
+        slot_allocator, _, _ = make_slot_allocator([2.0, None])
         for _ in range(8):
-            choice = await places.take(make_case(SERVICE))
+            choice = await slot_allocator.take(make_request_context(SERVICE))
             assert not isinstance(choice, Refusal)
             assert choice.endpoint.endpoint == "e1"
 
--- a/poplarrelay/entry/tests/test_process.py
+++ b/poplarrelay/entry/tests/test_process.py
@@ -7,14 +7,14 @@
 import orjson
 import pytest
 
-from poplarrelay.testing.users import (
+from poplarrelay.testing.entry_site import (
     CALLS,
     STREAMS,
     EntryProcess,
-    play,
-    run_users_site,
-    until,
-    users_configuration,
+    entry_configuration,
+    poll_until,
+    run_entry_site,
+    run_scenario,
 )
 
 pytestmark = pytest.mark.processes
@@ -30,14 +30,14 @@
     # Operators change the settings file of a node that serves a stream, once with
     # SIGHUP and once without; a faulty file changes nothing. The stream goes on.
     async def scenario():
-        async with run_users_site(nodes=0) as site:
+        async with run_entry_site(nodes=0) as site:
             await site.add_runner("r1", STREAMS, events=200, pause_s=0.02)
             node = await site.start_process("a", tmp_path)
             routes = [
-                {**r, "timeoutMs": 60_000} for r in users_configuration()["routes"]
+                {**r, "timeoutMs": 60_000} for r in entry_configuration()["routes"]
             ]
             site.configure(2, routes=routes)
-            await until(lambda: _configuration(node) == 2)
+            await poll_until(lambda: _configuration(node) == 2)
             # Its 200 events last four seconds on an idle machine; the wait for them
             # must not end before they do on a busy one.
             connection = await site.open("/draft/x", X_Poplarrelay_Deadline_Ms="50000")
@@ -46,23 +46,23 @@
             value["bounds"]["retry_ratio"] = 0.1
             node.path.write_bytes(orjson.dumps(value))
             node.signal(signal.SIGHUP)
-            await until(lambda: node.messages().count("settings reloaded") >= 1)
+            await poll_until(lambda: node.messages().count("settings reloaded") >= 1)
             value["bounds"]["retry_ratio"] = 0.3
             node.path.write_bytes(orjson.dumps(value))
-            await until(lambda: node.messages().count("settings reloaded") >= 2)
+            await poll_until(lambda: node.messages().count("settings reloaded") >= 2)
             node.path.write_bytes(b'{"node": 5}')
             node.signal(signal.SIGHUP)
-            await until(lambda: "settings not reloaded" in node.messages())
+            await poll_until(lambda: "settings not reloaded" in node.messages())
             body = await connection.body(1_000_000)
             assert body.endswith(b"data: token 200\n\n")
             assert node.process.returncode is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stop_signal_ends_a_node_in_order(tmp_path):
     async def scenario():
-        async with run_users_site(nodes=0) as site:
+        async with run_entry_site(nodes=0) as site:
             await site.add_runner("r1", CALLS)
             node = await site.start_process("a", tmp_path)
             assert (await site.call("/look/x")).status == 200
@@ -71,16 +71,16 @@
             assert await node.process.wait() == 0
             assert {"stopping", "stopped"} <= set(node.messages())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_each_request_can_be_followed_by_its_id(tmp_path):
     async def scenario():
-        async with run_users_site(nodes=0) as site:
+        async with run_entry_site(nodes=0) as site:
             await site.add_runner("r1", CALLS)
             node = await site.start_process("a", tmp_path)
             await site.call("/look/x", X_Poplarrelay_Attempt_Id="known-id")
-            await until(lambda: "request" in node.messages())
+            await poll_until(lambda: "request" in node.messages())
             lines = [li for li in node.lines() if li.get("request") == "known-id"]
             assert [line["message"] for line in lines] == ["attempt", "request"]
             assert lines[0]["endpoint"] == "r1"
@@ -90,7 +90,7 @@
             status = orjson.loads((await site.get("control", "/status")).body)
             assert status["endpoints"]["r1"]["service"] == CALLS
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
--- a/poplarrelay/entry/tests/test_quotas.py
+++ b/poplarrelay/entry/tests/test_quotas.py
@@ -34,7 +34,7 @@
                 for hearer in group:
                     if teller != hearer:
                         spent = self.buckets[teller].spent
-                        self.buckets[hearer].hear(str(teller), spent, 0.0, self.now)
+                        self.buckets[hearer].receive(str(teller), spent, 0.0, self.now)
 
     def run(self, seconds, cost, groups):
         """Let every node get one request a step."""
@@ -124,7 +124,7 @@
         for teller, bucket in enumerate(buckets):
             for hearer in buckets:
                 if hearer is not bucket:
-                    hearer.hear(str(teller), bucket.spent, 0.0, now)
+                    hearer.receive(str(teller), bucket.spent, 0.0, now)
         bucket = buckets[index]
         over = bucket.take(QUOTA, cost, now, 3)
         assert bucket.level <= QUOTA.burst
@@ -133,5 +133,5 @@
         now += over.retry_after_s + 0.01
         for teller, other in enumerate(buckets):
             if other is not bucket:
-                bucket.hear(str(teller), other.spent, 0.0, now)
+                bucket.receive(str(teller), other.spent, 0.0, now)
         assert bucket.take(QUOTA, cost, now, 3) is None
--- a/poplarrelay/entry/tests/test_runs.py
+++ b/poplarrelay/entry/tests/test_runs.py
@@ -8,12 +8,12 @@
 
 from poplarrelay.identifiers import EndpointId
 from poplarrelay.standins.users.runner import Fault
-from poplarrelay.testing.users import (
+from poplarrelay.testing.entry_site import (
     CALLS,
     STREAMS,
-    play,
-    run_users_site,
-    until,
+    poll_until,
+    run_entry_site,
+    run_scenario,
 )
 
 R1 = EndpointId("r1")
@@ -23,52 +23,52 @@
     # An endpoint crashes and starts again at its address. A request over a connection
     # that was kept to the run before would be lost, and might have run.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
             site.list_runner("r1", CALLS, born=1000)
             await site.ready(endpoints=1)
             rows = site.nodes["a"].state.endpoints.rows
-            await until(lambda: rows[R1].started_ms == 1000)
+            await poll_until(lambda: rows[R1].started_ms == 1000)
             assert (await site.call("/pay/x")).status == 200
             again = await site.restart_runner("r1", CALLS)
-            await until(lambda: rows[R1].started_ms not in (None, 1000))
+            await poll_until(lambda: rows[R1].started_ms not in (None, 1000))
             for _ in range(3):
                 assert (await site.call("/book/x")).status == 200
             assert len(again.ran) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_work_at_the_run_before_is_not_repeated_at_the_next():
     # A call that must not be repeated is under way when its endpoint starts again. The
     # new run knows nothing of it, and would run it a second time.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             site.list_runner("r1", CALLS, born=1000)
             await site.ready(endpoints=1)
             runner.faults.append(Fault.HANG)
             call = asyncio.create_task(site.call("/book/x"))
-            await until(lambda: runner.received)
+            await poll_until(lambda: runner.received)
             again = await site.restart_runner("r1", CALLS)
             rows = site.nodes["a"].state.endpoints.rows
-            await until(lambda: rows[R1].started_ms not in (None, 1000))
+            await poll_until(lambda: rows[R1].started_ms not in (None, 1000))
             assert (await call).status in (502, 504)
             assert not again.received
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_goes_on_at_the_next_run():
     # Only one endpoint serves. It starts again in the middle of a stream that may be
     # resumed: the caller gets each event once.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=12, pause_s=0.05)
             site.list_runner("r1", STREAMS, born=1000)
             await site.ready(endpoints=1)
             call = asyncio.create_task(site.call("/draft/x"))
-            await until(lambda: runner.received)
+            await poll_until(lambda: runner.received)
             await asyncio.sleep(0.2)
             await site.restart_runner("r1", STREAMS)
             answer = await call
@@ -81,14 +81,14 @@
             assert numbers == sorted(set(numbers))
             assert len(numbers) == 12
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("record", ["not a record", {"service": CALLS}, ["a"], 7])
 def test_foreign_records_take_no_other_endpoint_out_of_service(record):
     # Another writer writes under ids of its own, and under that of an endpoint.
     async def scenario():
-        async with run_users_site(nodes=2) as site:
+        async with run_entry_site(nodes=2) as site:
             for name in ("r1", "r2"):
                 await site.add_runner(name, CALLS)
             for name in site.nodes:
@@ -97,13 +97,15 @@
             site.store.put("keyed.servers", "r1", record)
             site.store.put_raw("keyed.servers", b"\x07r2")
             states = [node.state for node in site.nodes.values()]
-            await until(lambda: all(set(s.endpoints.rows) == {"r2"} for s in states))
+            await poll_until(
+                lambda: all(set(s.endpoints.rows) == {"r2"} for s in states)
+            )
             for name in site.nodes:
                 assert (await site.call("/look/x", node=name)).status == 200
             site.list_runner("r1", CALLS)
-            await until(lambda: all(len(s.endpoints.rows) == 2 for s in states))
+            await poll_until(lambda: all(len(s.endpoints.rows) == 2 for s in states))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoint_that_started_again_gets_one_request_meant_for_its_former_run():
@@ -111,7 +113,7 @@
     # list still shows the former run. It refuses what is meant for that at once, so
     # it looks idle; only one caller may find that out, not all until the list is read.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
             await site.ready(endpoints=2)
             runners[0].endpoint = EndpointId("r9")
@@ -120,13 +122,13 @@
             assert len(refused) <= 1
             assert len(runners[0].received) <= 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_ended_run_is_avoided_until_the_list_shows_the_next_one():
     # Guards against one more refused request each time that an avoidance ends.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
             await site.ready(endpoints=2)
             runners[0].endpoint = EndpointId("r9")
@@ -135,4 +137,4 @@
                 await asyncio.sleep(0.06)
             assert len(runners[0].received) <= 1
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_sizing.py
+++ b/poplarrelay/entry/tests/test_sizing.py
@@ -12,8 +12,8 @@
     count_for_load,
     count_lost_to_limits,
     count_needed,
-    domains_taken,
     plan_endpoints,
+    reclaimed_domains,
 )
 from poplarrelay.identifiers import DomainId, EndpointId, TeamId
 
@@ -58,9 +58,11 @@
 
 
 def test_limits_of_a_domain_hold_for_both_kinds_together():
-    for dry in ((), ("a",), ("a", "b", "c")):
+    for exhausted_domains in ((), ("a",), ("a", "b", "c")):
         for present in (rows("abc", "aab"), rows("aabbcc"), rows("", "aaabbbccc")):
-            plan = plan_endpoints(given(present, 100.0, dry=dry))
+            plan = plan_endpoints(
+                given(present, 100.0, exhausted_domains=exhausted_domains)
+            )
             assert all(p.reclaimable + p.on_demand <= LIMITS.most for p in plan)
 
 
@@ -87,10 +89,14 @@
     # to be had anywhere. With one engine left all callers would be late. The demand
     # of four engines is known all along: three come at the notice, not when requests
     # have piled up at the engine that is left.
-    dry = ("a", "b", "c")
-    lost = plan_endpoints(given(rows("a", "", "bc"), 4.0, dry=dry))
+    exhausted_domains = ("a", "b", "c")
+    lost = plan_endpoints(
+        given(rows("a", "", "bc"), 4.0, exhausted_domains=exhausted_domains)
+    )
     assert totals(lost)[1] == 3
-    booted = plan_endpoints(given(rows("a", "bbc"), 4.0, dry=dry))
+    booted = plan_endpoints(
+        given(rows("a", "bbc"), 4.0, exhausted_domains=exhausted_domains)
+    )
     assert totals(booted)[1] == 3
     back = plan_endpoints(given(rows("abbbcc", "bbc"), 4.0))
     assert totals(back)[1] == 0
@@ -99,7 +105,7 @@
 def test_wave_is_made_up_for_in_other_domains():
     # One domain of three is taken. Reclaimable endpoints of the others boot just as
     # fast as on-demand ones and cost a fraction.
-    plan = plan_endpoints(given(rows("aabb", "", "cc"), 4.0, dry=("c",)))
+    plan = plan_endpoints(given(rows("aabb", "", "cc"), 4.0, exhausted_domains=("c",)))
     assert {p.domain: p.reclaimable for p in plan} == {"a": 2, "b": 3, "c": 0}
     assert totals(plan)[1] == 0
 
@@ -110,27 +116,35 @@
     booting = {DomainId("a"): 3, DomainId("b"): 1, DomainId("c"): 1}
     still = plan_endpoints(given(rows("bc"), 4.0, ordered=booting))
     assert totals(still)[1] == 0
-    late = plan_endpoints(given(rows("bc"), 4.0, ordered=booting, overdue=("a",)))
+    late = plan_endpoints(
+        given(rows("bc"), 4.0, ordered=booting, overdue_domains=("a",))
+    )
     assert totals(late)[1] == 2
 
 
 def test_dear_endpoints_come_for_the_mean_and_not_for_peaks():
     # Few long prompts make the demand swing. Reclaimable endpoints are had for its
     # peaks; on-demand ones, paid for their boot at least, for what lasts.
-    calm = SizingInput(LIMITS, rows("a"), 6.0, 3.0, dry=tuple(DOMAINS))
+    calm = SizingInput(LIMITS, rows("a"), 6.0, 3.0, exhausted_domains=tuple(DOMAINS))
     assert totals(plan_endpoints(calm))[1] == 2
-    lasting = SizingInput(LIMITS, rows("a"), 6.0, 6.0, dry=tuple(DOMAINS))
+    lasting = SizingInput(LIMITS, rows("a"), 6.0, 6.0, exhausted_domains=tuple(DOMAINS))
     assert totals(plan_endpoints(lasting))[1] == 5
 
 
 def test_dear_endpoints_make_up_for_less_than_cheap_ones():
     # No reclaimable endpoints are to be had, and ten are needed. At the same price
     # on-demand ones come for all; at many times the price callers wait a little.
-    dry = tuple(DOMAINS)
+    exhausted_domains = tuple(DOMAINS)
     cheap = ScalingLimits(1, 9, 4.0, 1.0, DOMAINS)
     dear = ScalingLimits(1, 9, 4.0, 0.0, DOMAINS)
     counts = [
-        totals(plan_endpoints(SizingInput(limits, rows(), 10.0, 10.0, dry=dry)))[1]
+        totals(
+            plan_endpoints(
+                SizingInput(
+                    limits, rows(), 10.0, 10.0, exhausted_domains=exhausted_domains
+                )
+            )
+        )[1]
         for limits in (cheap, dear)
     ]
     assert counts == [10, 9]
@@ -169,12 +183,20 @@
 def test_what_cannot_be_had_takes_no_room():
     # At high demand all domains are to be full of reclaimable endpoints, and none are
     # to be had. The places are free for on-demand ones; planned ones do not count.
-    dry = tuple(DOMAINS)
-    plan = plan_endpoints(given(rows("a"), 12.0, dry=dry))
+    exhausted_domains = tuple(DOMAINS)
+    plan = plan_endpoints(given(rows("a"), 12.0, exhausted_domains=exhausted_domains))
     assert totals(plan) == (1, 8)
     # Those that were ordered before the wave came are not to be had either.
-    lost = given(rows("a"), 12.0, dry=dry, ordered=dict.fromkeys(DOMAINS, 3))
-    assert totals(plan_endpoints(replace(lost, overdue=dry))) == (1, 8)
+    lost = given(
+        rows("a"),
+        12.0,
+        exhausted_domains=exhausted_domains,
+        ordered=dict.fromkeys(DOMAINS, 3),
+    )
+    assert totals(plan_endpoints(replace(lost, overdue_domains=exhausted_domains))) == (
+        1,
+        8,
+    )
 
 
 def test_endpoints_that_were_given_up_are_no_wave():
@@ -182,10 +204,10 @@
     # it leaves, as endpoints do that a wave takes. A wave takes all of a domain.
     lowered = rows("aabbc", "", "ab")
     ordered = {DomainId("a"): 2, DomainId("b"): 2, DomainId("c"): 1}
-    assert domains_taken(lowered, ordered) == set()
-    assert domains_taken(rows("aab", "", "cc"), ordered) == {"c"}
-    assert domains_taken(rows("aab", "", "cc"), {DomainId("c"): 0}) == set()
-    assert domains_taken(rows("aab", "", "cc"), {DomainId("c"): None}) == {"c"}
+    assert reclaimed_domains(lowered, ordered) == set()
+    assert reclaimed_domains(rows("aab", "", "cc"), ordered) == {"c"}
+    assert reclaimed_domains(rows("aab", "", "cc"), {DomainId("c"): 0}) == set()
+    assert reclaimed_domains(rows("aab", "", "cc"), {DomainId("c"): None}) == {"c"}
 
 
 def test_no_on_demand_endpoint_is_added_while_reclaimable_ones_can_be_had():
--- a/poplarrelay/entry/tests/test_streams.py
+++ b/poplarrelay/entry/tests/test_streams.py
@@ -7,12 +7,17 @@
 from poplarrelay.entry.http.connection import header_value
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.standins.users.runner import Fault
-from poplarrelay.testing.users import STREAMS, play, run_users_site, until
+from poplarrelay.testing.entry_site import (
+    STREAMS,
+    poll_until,
+    run_entry_site,
+    run_scenario,
+)
 
 
 def test_events_are_passed_on_as_they_come():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=4, pause_s=0.2)
             await site.ready(endpoints=1)
             connection = await site.open("/draft/x")
@@ -24,14 +29,14 @@
             rest = await connection.body(100_000)
             assert rest == b"".join(runner.event_of(n) for n in (2, 3, 4))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_goes_on_elsewhere_from_its_last_whole_event():
     # The first endpoint stops in the middle of event 3. The caller sees one stream:
     # every event once and in order, with the first endpoint's signature.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [
                 await site.add_runner(f"r{i}", STREAMS, events=6) for i in (1, 2)
             ]
@@ -49,14 +54,14 @@
             assert signature == f"sig-{first.endpoint}".encode()
             assert second.ran[0].headers["last-event-id"] == "2"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_that_may_not_resume_is_cut_visibly():
     # The endpoint stops in the middle of event 3 of a stream that may run only once.
     # The caller's answer must not look complete, and nobody else may run it.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [
                 await site.add_runner(f"r{i}", STREAMS, events=6, break_after=3)
                 for i in (1, 2)
@@ -68,18 +73,18 @@
                 await connection.body(100_000)
             assert sum(len(runner.ran) for runner in runners) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_caller_resumes_where_it_says():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=5)
             await site.ready(endpoints=1)
             answer = await site.call("/draft/x", Last_Event_Id="3")
             assert answer.body == runner.event_of(4) + runner.event_of(5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_silent_stream_goes_on_elsewhere():
@@ -87,13 +92,13 @@
     # given to another endpoint before the caller loses patience; the first one's
     # connection is closed, so that it stops.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", STREAMS) for i in (1, 2)]
             await site.ready(endpoints=2)
             for runner in runners:
                 runner.faults.append(Fault.HANG)
             connection = await site.open("/draft/x")
-            await until(lambda: any(runner.received for runner in runners))
+            await poll_until(lambda: any(runner.received for runner in runners))
             hanging = next(runner for runner in runners if runner.received)
             sound = next(runner for runner in runners if runner is not hanging)
             sound.faults.clear()
@@ -101,29 +106,29 @@
                 response = await connection.whole_response(100_000)
             assert response.status == 200
             assert len(sound.ran) == 1
-            await until(lambda: not hanging._writers, "first connection closed")
+            await poll_until(lambda: not hanging._writers, "first connection closed")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoint_learns_that_a_streams_caller_left():
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=200, pause_s=0.02)
             await site.ready(endpoints=1)
             connection = await site.open("/draft/x")
             await connection.response_head()
             connection.abort()
-            await until(lambda: runner.cut, "stream cut at the endpoint")
+            await poll_until(lambda: runner.cut, "stream cut at the endpoint")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_prompts_with_a_shared_part_go_to_one_endpoint():
     # Twenty requests share a long prefix. Reading it once is enough if all go where
     # it is kept.
     async def scenario():
-        async with run_users_site() as site:
+        async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", STREAMS) for i in (1, 2, 3)]
             await site.ready(endpoints=3)
             for number in range(20):
@@ -134,4 +139,4 @@
                 assert answer.status == 200
             assert sorted(len(runner.ran) for runner in runners) == [0, 0, 20]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/poplarrelay/exception.py
+++ b/poplarrelay/exception.py
@@ -22,16 +22,16 @@
     "EndpointError",
     "EndpointRefused",
     "ExchangeFailed",
-    "Fault",
+    "FieldError",
     "HistoryTrimmed",
     "InvalidConfiguration",
-    "KeyMalformed",
     "KeyReused",
     "LogRefused",
     "LogTrimmed",
     "LogUnavailable",
     "MalformedBody",
     "MalformedHeader",
+    "MalformedKey",
     "PlatformError",
     "PlatformRecordMalformed",
     "PlatformUnavailable",
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class FieldError:
     """One fault in a file, with its place.
 
     Attributes
@@ -71,11 +71,11 @@
 
     Parameters
     ----------
-    faults : tuple of Fault
+    faults : tuple of FieldError
         Every fault found, in the order of the file.
     """
 
-    def __init__(self, faults: tuple[Fault, ...]) -> None:
+    def __init__(self, faults: tuple[FieldError, ...]) -> None:
         super().__init__("; ".join(str(fault) for fault in faults))
         self.faults = faults
 
@@ -290,7 +290,7 @@
     title = "A header is not valid"
 
 
-class KeyMalformed(CallerError):
+class MalformedKey(CallerError):
     """The idempotency key is neither a plain key nor a ticket."""
 
     slug = "key-malformed"
--- a/poplarrelay/messages/calls.py
+++ b/poplarrelay/messages/calls.py
@@ -13,7 +13,7 @@
     "AttemptEnded",
     "AttemptProgressed",
     "AttemptResult",
-    "CallerGone",
+    "CallerDisconnected",
     "RequestArrived",
 ]
 
@@ -33,7 +33,7 @@
     age_s : float
         Seconds that it spent at another node before.
     home_clock : float or None
-        For a forwarded request, see `StoredRequest`.
+        For a forwarded request, see `RequestMessage`.
     deferred : bool
         The caller will fetch the answer by id later.
     forwarded : bool
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller closed its connection before the answer was whole."""
 
     request: RequestId
--- a/poplarrelay/messages/effects.py
+++ b/poplarrelay/messages/effects.py
@@ -16,12 +16,12 @@
     TeamId,
 )
 from poplarrelay.messages.gossip import (
-    CopyInquiry,
     CopyMessage,
+    CopyQuery,
     HandoverMessage,
-    KeyQuestion,
+    KeyQuery,
     ProbeMessage,
-    StoredRequest,
+    RequestMessage,
 )
 from poplarrelay.messages.questions import CallId
 from poplarrelay.messages.records import RecordValue
@@ -31,33 +31,33 @@
 __all__ = [
     "AcceptDeferred",
     "AppendRecord",
-    "AskCopies",
-    "AskKey",
-    "AskPeers",
-    "Conclude",
-    "Count",
-    "Counter",
-    "Decided",
     "Decision",
     "Effect",
+    "EndRequest",
     "FetchConfiguration",
-    "Forward",
-    "GiveOrder",
-    "HandOver",
-    "KeepCopy",
+    "ForwardRequest",
+    "IncrementCounter",
     "ListHosts",
-    "ListStarted",
+    "ListStartedHosts",
+    "LogDecision",
+    "Metric",
     "MoveAttempt",
-    "Observe",
+    "ObserveValue",
     "PollLoad",
     "ProbePeer",
-    "Reject",
+    "QueryAllPeers",
+    "QueryCopies",
+    "QueryKey",
+    "RejectRequest",
     "Reply",
     "RunAttempt",
-    "SendNews",
+    "SendGossip",
+    "SendHandover",
+    "SendModelOrder",
     "StartHost",
     "StopHost",
     "StopProcess",
+    "StoreCopy",
 ]
 
 
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Conclude:
+class EndRequest:
     """Give the waiting thread the request's final outcome.
 
     Attributes
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reject:
+class RejectRequest:
     """Tell the waiting thread that the request is not acceptable."""
 
     request: RequestId
@@ -165,14 +165,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveOrder:
+class SendModelOrder:
     """Order an engine to have just these models loaded.
 
     Attributes
     ----------
     fencing : Offset
         Fencing number of the lease under which the order is given.
-    latest : float
+    expires_at : float
         Monotonic time after which it must not be sent.
     """
 
@@ -181,11 +181,11 @@
     fencing: Offset
     holder: NodeId
     models: tuple[str, ...]
-    latest: float
+    expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class ListStarted:
+class ListStartedHosts:
     """Read the hosts that the cloud API has started."""
 
 
@@ -195,7 +195,7 @@
 
     Attributes
     ----------
-    latest : float
+    expires_at : float
         Monotonic time after which it must not be sent.
     """
 
@@ -203,7 +203,7 @@
     model: str
     machine_class: str
     domain: DomainId
-    latest: float
+    expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -212,7 +212,7 @@
 
     token: str
     grace_s: float
-    latest: float
+    expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -234,7 +234,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendNews:
+class SendGossip:
     """Send news to peers at once, without waiting for a round of probes."""
 
     peers: tuple[str, ...]
@@ -242,36 +242,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskKey:
+class QueryKey:
     """Ask the process that holds a key what became of it."""
 
     request: RequestId
     peer: str
-    question: KeyQuestion
+    query: KeyQuery
 
 
 @dataclass(frozen=True, slots=True)
-class AskPeers:
+class QueryAllPeers:
     """Ask all peers whether any knows a key."""
 
     request: RequestId
     peers: tuple[str, ...]
-    question: KeyQuestion
+    query: KeyQuery
 
 
 @dataclass(frozen=True, slots=True)
-class Forward:
+class ForwardRequest:
     """Send a request to the home that its ticket names."""
 
     request: RequestId
     peer: str
     incarnation: str
-    stored: StoredRequest
+    stored: RequestMessage
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class KeepCopy:
+class StoreCopy:
     """Give a peer a copy of a deferred request to keep."""
 
     request: RequestId
@@ -280,16 +280,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskCopies:
+class QueryCopies:
     """Ask a peer what it has of requests whose home is gone."""
 
     node: NodeId
     peer: str
-    inquiry: CopyInquiry
+    query: CopyQuery
 
 
 @dataclass(frozen=True, slots=True)
-class HandOver:
+class SendHandover:
     """Hand over to a successor."""
 
     node: NodeId
@@ -330,7 +330,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decided:
+class LogDecision:
     """A decision for the log; never with a token, prompt or answer.
 
     Attributes
@@ -343,7 +343,7 @@
     fields: tuple[tuple[str, str | int | float | bool | None], ...]
 
 
-class Counter(Enum):
+class Metric(Enum):
     """Counters and histograms that the systems feed."""
 
     ACCEPTED = "requests_accepted"
@@ -358,19 +358,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class IncrementCounter:
     """Add to a counter."""
 
-    counter: Counter
+    metric: Metric
     amount: float = 1.0
     labels: tuple[tuple[str, str], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Observe:
+class ObserveValue:
     """Add a value to a histogram."""
 
-    counter: Counter
+    metric: Metric
     value: float
     labels: tuple[tuple[str, str], ...] = ()
 
@@ -378,28 +378,28 @@
 Effect = (
     RunAttempt
     | MoveAttempt
-    | Conclude
-    | Reject
+    | EndRequest
+    | RejectRequest
     | AcceptDeferred
     | Reply
     | AppendRecord
     | FetchConfiguration
     | ListHosts
     | PollLoad
-    | GiveOrder
-    | ListStarted
+    | SendModelOrder
+    | ListStartedHosts
     | StartHost
     | StopHost
     | ProbePeer
-    | SendNews
-    | AskKey
-    | AskPeers
-    | Forward
-    | KeepCopy
-    | AskCopies
-    | HandOver
+    | SendGossip
+    | QueryKey
+    | QueryAllPeers
+    | ForwardRequest
+    | StoreCopy
+    | QueryCopies
+    | SendHandover
     | StopProcess
-    | Decided
-    | Count
-    | Observe
+    | LogDecision
+    | IncrementCounter
+    | ObserveValue
 )
--- a/poplarrelay/messages/convert.py
+++ b/poplarrelay/messages/encoding.py
@@ -12,7 +12,7 @@
     RequestId,
     TeamId,
 )
-from poplarrelay.messages.gossip import MemberRow, StoredAnswer, StoredRequest
+from poplarrelay.messages.gossip import MemberRow, OutcomeMessage, RequestMessage
 from poplarrelay.outcomes import (
     Answered,
     Continued,
@@ -28,36 +28,36 @@
 from poplarrelay.tables.requests import Request, RequestClass, Work, WorkKind
 
 __all__ = [
-    "load_member",
-    "load_outcome",
-    "load_request",
-    "load_work",
-    "store_member",
-    "store_outcome",
-    "store_request",
+    "decode_member",
+    "decode_outcome",
+    "decode_request",
+    "decode_work",
+    "encode_member",
+    "encode_outcome",
+    "encode_request",
 ]
 
 
-def store_outcome(outcome: Outcome) -> StoredAnswer:
+def encode_outcome(outcome: Outcome) -> OutcomeMessage:
     """Return the travelling form of an outcome."""
     if isinstance(outcome, NotRun):
-        return StoredAnswer(
+        return OutcomeMessage(
             tag="not_run",
             reason=outcome.reason.value,
             retry_after_s=outcome.retry_after_s,
         )
     if isinstance(outcome, Unknown):
-        return StoredAnswer(
+        return OutcomeMessage(
             tag="unknown",
             reason=outcome.reason.value,
             retry_after_s=outcome.retry_after_s,
         )
     if isinstance(outcome, Continued):
-        return StoredAnswer(
+        return OutcomeMessage(
             tag="unknown", reason=UnknownReason.NODE_LEAVING.value, retry_after_s=0.0
         )
     service, usage = outcome.service, outcome.usage
-    return StoredAnswer(
+    return OutcomeMessage(
         tag="answered",
         tokens=outcome.tokens,
         status=0 if service is None else service.status,
@@ -70,13 +70,13 @@
     )
 
 
-def load_outcome(stored: StoredAnswer) -> Outcome:
+def decode_outcome(stored: OutcomeMessage) -> Outcome:
     """Return the outcome that travelled.
 
     Examples
     --------
     >>> outcome = NotRun(NotRunReason.DEADLINE)
-    >>> load_outcome(store_outcome(outcome)) == outcome
+    >>> decode_outcome(encode_outcome(outcome)) == outcome
     True
     """
     if stored.tag == "not_run":
@@ -96,13 +96,13 @@
     return Answered(stored.tokens, service, usage)
 
 
-def store_request(
+def encode_request(
     request: Request, now: float, home_clock: float = 0.0
-) -> StoredRequest:
+) -> RequestMessage:
     """Return the travelling form of a request."""
     work = request.work
     outcome = request.outcome
-    return StoredRequest(
+    return RequestMessage(
         id=request.id,
         team=request.team,
         request_class=request.request_class.value,
@@ -124,12 +124,12 @@
         home_clock=home_clock,
         first_token_s=request.first_token_s,
         deferred=request.deferred,
-        outcome=None if outcome is None else store_outcome(outcome),
+        outcome=None if outcome is None else encode_outcome(outcome),
         copies=request.copies,
     )
 
 
-def load_work(stored: StoredRequest) -> Work:
+def decode_work(stored: RequestMessage) -> Work:
     """Return the work of a request that travelled."""
     return Work(
         kind=WorkKind(stored.kind),
@@ -147,12 +147,12 @@
     )
 
 
-def load_request(stored: StoredRequest, now: float) -> Request:
+def decode_request(stored: RequestMessage, now: float) -> Request:
     """Return the row of a request that was handed over."""
     request = Request(
         id=RequestId(stored.id),
         team=TeamId(stored.team),
-        work=load_work(stored),
+        work=decode_work(stored),
         request_class=RequestClass(stored.request_class),
         arrived=now - stored.age_s,
         deadline=now + stored.remaining_s,
@@ -162,11 +162,11 @@
         copies=stored.copies,
     )
     if stored.outcome is not None:
-        request.outcome = load_outcome(stored.outcome)
+        request.outcome = decode_outcome(stored.outcome)
     return request
 
 
-def store_member(member: Member) -> MemberRow:
+def encode_member(member: Member) -> MemberRow:
     """Return the travelling form of a member."""
     return MemberRow(
         node=member.node,
@@ -185,7 +185,7 @@
     )
 
 
-def load_member(row: MemberRow, now: float) -> Member:
+def decode_member(row: MemberRow, now: float) -> Member:
     """Return the member that travelled."""
     return Member(
         node=NodeId(row.node),
--- a/poplarrelay/messages/gossip.py
+++ b/poplarrelay/messages/gossip.py
@@ -7,21 +7,21 @@
 from poplarrelay.settings import StrictModel
 
 __all__ = [
-    "CopyInquiry",
     "CopyMessage",
+    "CopyQuery",
     "CopyReply",
-    "CopyStanding",
-    "CopyStandings",
+    "CopyStatus",
+    "CopyStatuses",
     "HandoverMessage",
     "HandoverReply",
-    "KeyQuestion",
+    "KeyMessage",
+    "KeyQuery",
     "KeyReply",
     "MemberRow",
     "NoticeRow",
+    "OutcomeMessage",
     "ProbeMessage",
-    "StoredAnswer",
-    "StoredKey",
-    "StoredRequest",
+    "RequestMessage",
 ]
 
 
@@ -78,7 +78,7 @@
     full: bool = False
 
 
-class KeyQuestion(StrictModel):
+class KeyQuery(StrictModel):
     """Ask the process that holds a key what became of it.
 
     Attributes
@@ -94,7 +94,7 @@
     claim: int | None
 
 
-class StoredAnswer(StrictModel):
+class OutcomeMessage(StrictModel):
     """An outcome as it travels; see `poplarrelay.outcomes`.
 
     Attributes
@@ -117,7 +117,7 @@
 
 
 class KeyReply(StrictModel):
-    """Answer to a `KeyQuestion`.
+    """Answer to a `KeyQuery`.
 
     ``absent`` means that this process does not hold the key and never ran it
     under the claim asked for; ``mismatch`` that the key came with another request.
@@ -130,11 +130,11 @@
     """
 
     state: Literal["running", "finished", "released", "broken", "absent", "mismatch"]
-    outcome: StoredAnswer | None = None
+    outcome: OutcomeMessage | None = None
     released_ago_s: float = 0.0
 
 
-class StoredKey(StrictModel):
+class KeyMessage(StrictModel):
     """A key's fate, handed over by a node that leaves."""
 
     team: str
@@ -142,11 +142,11 @@
     state: Literal["finished", "released", "broken"]
     fingerprint: str
     claim: int | None
-    outcome: StoredAnswer | None = None
+    outcome: OutcomeMessage | None = None
     age_s: float
 
 
-class StoredRequest(StrictModel):
+class RequestMessage(StrictModel):
     """A request that a leaving node hands over.
 
     Attributes
@@ -158,7 +158,7 @@
     home_clock : float
         The newest time of the receiver's own clock that the sender had heard
         when it took the request, so that one that got stuck on its way is known.
-    outcome : StoredAnswer or None
+    outcome : OutcomeMessage or None
         Set if it has ended and its answer is kept for the caller.
     copies : int
         Copies that have been sent of a deferred request; a later one replaces an
@@ -186,7 +186,7 @@
     home_clock: float = 0.0
     first_token_s: float
     deferred: bool
-    outcome: StoredAnswer | None = None
+    outcome: OutcomeMessage | None = None
     copies: int = 0
 
 
@@ -202,8 +202,8 @@
     id: str
     node: str
     incarnation: str
-    keys: tuple[StoredKey, ...]
-    requests: tuple[StoredRequest, ...]
+    keys: tuple[KeyMessage, ...]
+    requests: tuple[RequestMessage, ...]
 
 
 class CopyMessage(StrictModel):
@@ -218,7 +218,7 @@
     node: str
     incarnation: str
     generation: int = 0
-    request: StoredRequest
+    request: RequestMessage
 
 
 class CopyReply(StrictModel):
@@ -228,22 +228,22 @@
     ----------
     moved : bool
         Whether the peer has taken the request over and is its home now.
-    outcome : StoredAnswer or None
+    outcome : OutcomeMessage or None
         What the request came to there.
     """
 
     taken: bool
     moved: bool = False
-    outcome: StoredAnswer | None = None
+    outcome: OutcomeMessage | None = None
 
 
-class CopyInquiry(StrictModel):
+class CopyQuery(StrictModel):
     """Ask a peer what it has of requests whose home is gone."""
 
     requests: tuple[str, ...]
 
 
-class CopyStanding(StrictModel):
+class CopyStatus(StrictModel):
     """What a node has of a deferred request.
 
     Attributes
@@ -257,13 +257,13 @@
     request: str
     state: Literal["absent", "held", "home"]
     copies: int = 0
-    outcome: StoredAnswer | None = None
+    outcome: OutcomeMessage | None = None
 
 
-class CopyStandings(StrictModel):
-    """Answer to a `CopyInquiry`."""
+class CopyStatuses(StrictModel):
+    """Answer to a `CopyQuery`."""
 
-    standings: tuple[CopyStanding, ...]
+    standings: tuple[CopyStatus, ...]
 
 
 class HandoverReply(StrictModel):
--- a/poplarrelay/messages/inbox.py
+++ b/poplarrelay/messages/inbox.py
@@ -9,22 +9,22 @@
 from poplarrelay.messages.calls import (
     AttemptEnded,
     AttemptProgressed,
-    CallerGone,
+    CallerDisconnected,
     RequestArrived,
 )
 from poplarrelay.messages.peers import (
+    AllPeersAnswered,
     ConfigurationAsked,
     ConfigurationReceived,
     CopiesAnswered,
-    CopiesAsked,
+    CopiesQueried,
     CopyAnswered,
     CopyReceived,
     ForwardAnswered,
     HandoverAnswered,
     HandoverReceived,
     KeyAnswered,
-    KeyAsked,
-    PeersAnswered,
+    KeyQueried,
     ProbeAnswered,
     ProbeFailed,
     ProbeReceived,
@@ -34,17 +34,17 @@
     LoadFailed,
     LoadReported,
     LogFailed,
-    NoticeHeard,
+    NoticeReceived,
     OrderAnswered,
     RecordsRead,
-    StartedListed,
+    StartedHostsListed,
     StartRefused,
 )
 from poplarrelay.messages.questions import (
     AddressesAsked,
     ChangeAsked,
     HistoryAsked,
-    RequestLookedUp,
+    LookupAsked,
     ShutdownAsked,
     StatusAsked,
 )
@@ -55,33 +55,33 @@
     RequestArrived
     | AttemptProgressed
     | AttemptEnded
-    | CallerGone
+    | CallerDisconnected
     | RecordsRead
     | LogFailed
     | HostsListed
-    | NoticeHeard
+    | NoticeReceived
     | LoadReported
     | OrderAnswered
-    | StartedListed
+    | StartedHostsListed
     | StartRefused
     | LoadFailed
     | ProbeReceived
     | ProbeAnswered
     | ProbeFailed
-    | KeyAsked
+    | KeyQueried
     | KeyAnswered
-    | PeersAnswered
+    | AllPeersAnswered
     | ForwardAnswered
     | AddressesAsked
     | StatusAsked
     | HistoryAsked
-    | RequestLookedUp
+    | LookupAsked
     | ChangeAsked
     | ConfigurationAsked
     | ConfigurationReceived
     | CopyReceived
     | CopiesAnswered
-    | CopiesAsked
+    | CopiesQueried
     | CopyAnswered
     | HandoverReceived
     | HandoverAnswered
--- a/poplarrelay/messages/peers.py
+++ b/poplarrelay/messages/peers.py
@@ -6,13 +6,13 @@
 
 from poplarrelay.identifiers import NodeId, RequestId
 from poplarrelay.messages.gossip import (
-    CopyInquiry,
     CopyMessage,
+    CopyQuery,
     CopyReply,
-    CopyStandings,
+    CopyStatuses,
     HandoverMessage,
     HandoverReply,
-    KeyQuestion,
+    KeyQuery,
     KeyReply,
     ProbeMessage,
 )
@@ -20,18 +20,18 @@
 from poplarrelay.messages.records import SnapshotRecord
 
 __all__ = [
+    "AllPeersAnswered",
     "ConfigurationAsked",
     "ConfigurationReceived",
     "CopiesAnswered",
-    "CopiesAsked",
+    "CopiesQueried",
     "CopyAnswered",
     "CopyReceived",
     "ForwardAnswered",
     "HandoverAnswered",
     "HandoverReceived",
     "KeyAnswered",
-    "KeyAsked",
-    "PeersAnswered",
+    "KeyQueried",
     "ProbeAnswered",
     "ProbeFailed",
     "ProbeReceived",
@@ -62,11 +62,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyAsked:
+class KeyQueried:
     """A peer asks what became of a key."""
 
     call: CallId
-    question: KeyQuestion
+    query: KeyQuery
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeersAnswered:
+class AllPeersAnswered:
     """All peers were asked about a key.
 
     Attributes
@@ -139,11 +139,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CopiesAsked:
+class CopiesQueried:
     """A peer asks what this node has of requests whose home is gone."""
 
     call: CallId
-    inquiry: CopyInquiry
+    query: CopyQuery
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,7 +152,7 @@
 
     node: NodeId
     requests: tuple[RequestId, ...]
-    reply: CopyStandings | None
+    reply: CopyStatuses | None
 
 
 @dataclass(frozen=True, slots=True)
--- a/poplarrelay/messages/platform.py
+++ b/poplarrelay/messages/platform.py
@@ -15,13 +15,13 @@
     "LoadFailed",
     "LoadReported",
     "LogFailed",
-    "NoticeHeard",
+    "NoticeReceived",
     "NoticeSource",
     "OrderAnswered",
     "RecordsRead",
     "StartRefused",
     "StartedHost",
-    "StartedListed",
+    "StartedHostsListed",
 ]
 
 
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoticeHeard:
+class NoticeReceived:
     """An endpoint, or all of a failure domain, is leaving."""
 
     remaining_s: float
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartedListed:
+class StartedHostsListed:
     """All hosts that the cloud API has started."""
 
     hosts: tuple[StartedHost, ...]
--- a/poplarrelay/messages/questions.py
+++ b/poplarrelay/messages/questions.py
@@ -12,7 +12,7 @@
     "CallId",
     "ChangeAsked",
     "HistoryAsked",
-    "RequestLookedUp",
+    "LookupAsked",
     "ShutdownAsked",
     "StatusAsked",
 ]
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestLookedUp:
+class LookupAsked:
     """A caller asks for a deferred request.
 
     Attributes
--- a/poplarrelay/node/callers.py
+++ b/poplarrelay/node/caller_handlers.py
@@ -20,9 +20,14 @@
 )
 from poplarrelay.identifiers import IdempotencyKey, RequestId
 from poplarrelay.messages.calls import RequestArrived
-from poplarrelay.messages.questions import AddressesAsked, RequestLookedUp
-from poplarrelay.node.answers import CompletionForm, CompletionWriter, outcome_document
-from poplarrelay.node.bodies import (
+from poplarrelay.messages.questions import AddressesAsked, LookupAsked
+from poplarrelay.node.completion_writer import (
+    CompletionForm,
+    CompletionWriter,
+    outcome_document,
+)
+from poplarrelay.node.gateway import Gateway, SessionEvents
+from poplarrelay.node.request_bodies import (
     ChatBody,
     CompletionBody,
     DeferredBody,
@@ -30,15 +35,14 @@
     completion_work,
     service_work,
 )
-from poplarrelay.node.gateway import Gateway, SessionEvents
 from poplarrelay.node.sessions import Accepted, CallerEvent, Ended, Rejected
 from poplarrelay.outcomes import Answered, Outcome
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 from poplarrelay.systems.lookups import (
     LookupElsewhere,
     LookupResult,
     SearchResult,
-    judge_search,
+    combine_search,
 )
 from poplarrelay.tables.requests import RequestClass, Work
 from poplarrelay.web.exchange import (
@@ -285,9 +289,9 @@
 class DeferredHandler:
     """``POST /v1/requests`` and ``GET /v1/requests/{id}``."""
 
-    def __init__(self, gateway: Gateway, caller: JsonCaller) -> None:
+    def __init__(self, gateway: Gateway, http_client: JsonHttpClient) -> None:
         self._gateway = gateway
-        self._caller = caller
+        self._http_client = http_client
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
@@ -322,7 +326,7 @@
             digest = read_token()
         except CallerError as error:
             raise reject(error) from None
-        found = self._gateway.ask(lambda call: RequestLookedUp(call, digest, request))
+        found = self._gateway.ask(lambda call: LookupAsked(call, digest, request))
         if isinstance(found, CallerError):
             raise reject(found)
         if isinstance(found, LookupElsewhere):
@@ -335,7 +339,9 @@
         copies, silent = False, set()
         for peer in found.peers:
             try:
-                reply = self._caller.call("GET", peer, path, timeout_s=LOOKUP_TIMEOUT_S)
+                reply = self._http_client.call(
+                    "GET", peer, path, timeout_s=LOOKUP_TIMEOUT_S
+                )
             except CallFailed:
                 silent.add(peer)
                 continue
@@ -344,7 +350,7 @@
             copies = copies or reply.ok
             if not reply.ok and reply.status != HTTPStatus.NOT_FOUND:
                 silent.add(peer)
-        result = judge_search(found, copies, silent)
+        result = combine_search(found, copies, silent)
         if result is SearchResult.RUNNING:
             return answer_json(lookup_document(request, LookupResult(None)))
         if result is SearchResult.ABSENT:
@@ -428,11 +434,11 @@
 class CallersRoot:
     """Root of the callers' listener."""
 
-    def __init__(self, gateway: Gateway, caller: JsonCaller) -> None:
+    def __init__(self, gateway: Gateway, http_client: JsonHttpClient) -> None:
         self.services = ServiceHandler(gateway)
         self.v1 = _Version()
         self.v1.addresses = AddressesHandler(gateway)  # type: ignore[attr-defined]
-        self.v1.requests = DeferredHandler(gateway, caller)  # type: ignore[attr-defined]
+        self.v1.requests = DeferredHandler(gateway, http_client)  # type: ignore[attr-defined]
         self.v1.completions = CompletionHandler(  # type: ignore[attr-defined]
             gateway, CompletionForm.TEXT
         )
--- a/poplarrelay/node/answers.py
+++ b/poplarrelay/node/completion_writer.py
@@ -12,7 +12,7 @@
 from poplarrelay.identifiers import RequestId
 from poplarrelay.node.sessions import CallerEvent, Ended, Tokens
 from poplarrelay.outcomes import Answered, Continued, NotRun, Unknown, Usage
-from poplarrelay.web.problems import Problem, problem_of_outcome
+from poplarrelay.web.problems import Problem, problem_from_outcome
 
 __all__ = ["CompletionForm", "CompletionWriter", "outcome_document"]
 
@@ -48,7 +48,7 @@
             outcome="unknown",
             retry_after_s=0.0,
         )
-    return problem_of_outcome(outcome)
+    return problem_from_outcome(outcome)
 
 
 class CompletionWriter:
@@ -122,7 +122,7 @@
     @staticmethod
     def failure(outcome: NotRun | Unknown) -> bytes:
         """Return the event by which a stream ends without its whole answer."""
-        problem = problem_of_outcome(outcome)
+        problem = problem_from_outcome(outcome)
         return b"event: error\ndata: " + problem.to_json() + b"\n\n"
 
     @staticmethod
--- a/poplarrelay/node/outbox.py
+++ b/poplarrelay/node/effect_executor.py
@@ -8,47 +8,47 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from poplarrelay.engines.http import give_order, read_load
+from poplarrelay.engines.http import read_load, send_model_order
 from poplarrelay.exception import EndpointBroken, PlatformError
 from poplarrelay.identifiers import RequestId
 from poplarrelay.messages.effects import (
     AcceptDeferred,
     AppendRecord,
-    AskCopies,
-    AskKey,
-    AskPeers,
-    Conclude,
-    Count,
-    Decided,
     Effect,
+    EndRequest,
     FetchConfiguration,
-    Forward,
-    GiveOrder,
-    HandOver,
-    KeepCopy,
+    ForwardRequest,
+    IncrementCounter,
     ListHosts,
-    ListStarted,
+    ListStartedHosts,
+    LogDecision,
     MoveAttempt,
-    Observe,
+    ObserveValue,
     PollLoad,
     ProbePeer,
-    Reject,
+    QueryAllPeers,
+    QueryCopies,
+    QueryKey,
+    RejectRequest,
     Reply,
     RunAttempt,
-    SendNews,
+    SendGossip,
+    SendHandover,
+    SendModelOrder,
     StartHost,
     StopHost,
     StopProcess,
+    StoreCopy,
 )
 from poplarrelay.messages.inbox import Message
 from poplarrelay.messages.peers import (
+    AllPeersAnswered,
     ConfigurationReceived,
     CopiesAnswered,
     CopyAnswered,
     ForwardAnswered,
     HandoverAnswered,
     KeyAnswered,
-    PeersAnswered,
     ProbeAnswered,
     ProbeFailed,
 )
@@ -56,22 +56,22 @@
     HostsListed,
     LoadFailed,
     LoadReported,
-    NoticeHeard,
+    NoticeReceived,
     NoticeSource,
     OrderAnswered,
-    StartedListed,
+    StartedHostsListed,
     StartRefused,
 )
+from poplarrelay.node.log_threads import LogAppender
 from poplarrelay.node.logs import log_decision
-from poplarrelay.node.logworkers import LogAppender
 from poplarrelay.node.mailboxes import Mailbox, Mailboxes
 from poplarrelay.node.metrics import NodeMetrics
-from poplarrelay.node.peering import PeerClient
+from poplarrelay.node.peer_client import PeerClient
 from poplarrelay.node.sessions import Runtime, Session
 from poplarrelay.providers.hosts import CloudStarts, HostList
-from poplarrelay.providers.http import JsonCaller
+from poplarrelay.providers.http import JsonHttpClient
 
-__all__ = ["Outbox"]
+__all__ = ["EffectExecutor"]
 
 #: Threads for probes and other short calls to peers.
 PEER_THREADS = 6
@@ -91,7 +91,7 @@
     session: Session
 
 
-class Outbox:
+class EffectExecutor:
     """Hands each effect to the thread, or pool of threads, that carries it out.
 
     Notes
@@ -109,7 +109,7 @@
         peers: PeerClient,
         host_list: HostList,
         cloud: CloudStarts,
-        caller: JsonCaller,
+        http_client: JsonHttpClient,
         deferred_threads: int,
         order_timeout_s: float,
         stop: Callable[[bool], None],
@@ -121,7 +121,7 @@
         self._peers = peers
         self._host_list = host_list
         self._cloud = cloud
-        self._caller = caller
+        self._http_client = http_client
         self._stop = stop
         self._order_timeout_s = order_timeout_s
         self._runtime: Runtime | None = None
@@ -142,15 +142,15 @@
                 self._deferred_pool.submit(self._guard, self._run_deferred, effect)
             case RunAttempt():
                 self._deliver(effect.attempt.request, effect)
-            case MoveAttempt() | Conclude() | Reject() | AcceptDeferred():
+            case MoveAttempt() | EndRequest() | RejectRequest() | AcceptDeferred():
                 self._deliver(effect.request, effect)
             case Reply():
                 self._mailboxes.reply(effect.call, effect.value)
-            case Decided():
+            case LogDecision():
                 log_decision(effect)
-            case Count():
+            case IncrementCounter():
                 self._metrics.count(effect)
-            case Observe():
+            case ObserveValue():
                 self._metrics.observe(effect)
             case AppendRecord():
                 self._appender.add(effect)
@@ -163,37 +163,37 @@
         match effect:
             case PollLoad():
                 self._poll_pool.submit(self._guard, self._poll, effect)
-            case GiveOrder():
-                self._poll_pool.submit(self._guard, self._give_order, effect)
-            case ListStarted():
-                self._poll_pool.submit(self._guard, self._list_started, effect)
+            case SendModelOrder():
+                self._poll_pool.submit(self._guard, self._send_model_order, effect)
+            case ListStartedHosts():
+                self._poll_pool.submit(self._guard, self._list_started_hosts, effect)
             case StartHost():
                 self._poll_pool.submit(self._guard, self._start_host, effect)
             case StopHost():
                 self._poll_pool.submit(self._guard, self._stop_host, effect)
             case ListHosts():
                 self._poll_pool.submit(self._guard, self._list_hosts, effect)
-            case Forward():
+            case ForwardRequest():
                 self._forward_pool.submit(self._guard, self._forward, effect)
             case ProbePeer():
                 self._peer_pool.submit(self._guard, self._probe, effect)
-            case SendNews():
+            case SendGossip():
                 for peer in effect.peers:
                     self._peer_pool.submit(
                         self._guard, self._send_news, (peer, effect.message)
                     )
-            case AskKey():
-                self._peer_pool.submit(self._guard, self._ask_key, effect)
-            case AskPeers():
-                self._forward_pool.submit(self._guard, self._ask_peers, effect)
+            case QueryKey():
+                self._peer_pool.submit(self._guard, self._query_key, effect)
+            case QueryAllPeers():
+                self._forward_pool.submit(self._guard, self._query_all_peers, effect)
             case FetchConfiguration():
                 self._peer_pool.submit(self._guard, self._fetch, effect)
-            case KeepCopy():
-                self._forward_pool.submit(self._guard, self._keep_copy, effect)
-            case AskCopies():
-                self._forward_pool.submit(self._guard, self._ask_copies, effect)
-            case HandOver():
-                self._peer_pool.submit(self._guard, self._hand_over, effect)
+            case StoreCopy():
+                self._forward_pool.submit(self._guard, self._store_copy, effect)
+            case QueryCopies():
+                self._forward_pool.submit(self._guard, self._query_copies, effect)
+            case SendHandover():
+                self._peer_pool.submit(self._guard, self._send_handover, effect)
 
     @staticmethod
     def _guard(work: Callable, argument: object) -> None:
@@ -207,7 +207,7 @@
     def _deliver(
         self,
         request: RequestId,
-        effect: RunAttempt | MoveAttempt | Conclude | Reject | AcceptDeferred,
+        effect: RunAttempt | MoveAttempt | EndRequest | RejectRequest | AcceptDeferred,
     ) -> None:
         """Give an instruction to the thread that waits, and to a deferred run.
 
@@ -215,13 +215,13 @@
         accepted, so the two have mailboxes of their own.
         """
         mailbox = self._mailboxes.find(request)
-        to_run_alone = isinstance(effect, Conclude) and effect.deferred
+        to_run_alone = isinstance(effect, EndRequest) and effect.deferred
         if mailbox is not None and not to_run_alone:
             mailbox.put(effect)
         run = self._runs.get(request)
         if run is not None:
             run.mailbox.put(effect)
-        if isinstance(effect, Conclude):
+        if isinstance(effect, EndRequest):
             self._runs.pop(request, None)
 
     def _run_deferred(self, effect: RunAttempt) -> None:
@@ -242,22 +242,22 @@
 
     def _poll(self, effect: PollLoad) -> None:
         try:
-            answer = read_load(effect.endpoint, effect.address, self._caller)
+            answer = read_load(effect.endpoint, effect.address, self._http_client)
         except EndpointBroken:
             self._submit(LoadFailed(effect.endpoint))
             return
         if answer.leaving_s is not None:
             source = NoticeSource.ENDPOINT
-            self._submit(NoticeHeard(answer.leaving_s, source, effect.endpoint))
+            self._submit(NoticeReceived(answer.leaving_s, source, effect.endpoint))
         self._submit(LoadReported(effect.endpoint, answer.report, answer.models))
 
-    def _give_order(self, effect: GiveOrder) -> None:
-        taken = give_order(effect, self._caller, self._order_timeout_s)
+    def _send_model_order(self, effect: SendModelOrder) -> None:
+        taken = send_model_order(effect, self._http_client, self._order_timeout_s)
         self._submit(OrderAnswered(effect.endpoint, taken))
 
-    def _list_started(self, effect: ListStarted) -> None:
+    def _list_started_hosts(self, effect: ListStartedHosts) -> None:
         with suppress(PlatformError):
-            self._submit(StartedListed(self._cloud.started()))
+            self._submit(StartedHostsListed(self._cloud.started()))
 
     def _start_host(self, effect: StartHost) -> None:
         # A start without an answer shows in the next list or is repeated under the
@@ -289,15 +289,15 @@
         peer, message = argument
         self._peers.probe(peer, message, ())
 
-    def _ask_key(self, effect: AskKey) -> None:
-        reply = self._peers.ask_key(effect.peer, effect.question)
+    def _query_key(self, effect: QueryKey) -> None:
+        reply = self._peers.query_key(effect.peer, effect.query)
         self._submit(KeyAnswered(effect.request, reply))
 
-    def _ask_peers(self, effect: AskPeers) -> None:
-        absent = self._peers.all_absent(effect.peers, effect.question)
-        self._submit(PeersAnswered(effect.request, absent))
+    def _query_all_peers(self, effect: QueryAllPeers) -> None:
+        absent = self._peers.all_absent(effect.peers, effect.query)
+        self._submit(AllPeersAnswered(effect.request, absent))
 
-    def _forward(self, effect: Forward) -> None:
+    def _forward(self, effect: ForwardRequest) -> None:
         reply = self._peers.forward(effect.peer, effect.stored, effect.timeout_s)
         self._submit(ForwardAnswered(effect.request, reply is not None, reply))
 
@@ -306,15 +306,15 @@
         if snapshot is not None:
             self._submit(ConfigurationReceived(snapshot))
 
-    def _keep_copy(self, effect: KeepCopy) -> None:
-        reply = self._peers.keep_copy(effect.peer, effect.message)
+    def _store_copy(self, effect: StoreCopy) -> None:
+        reply = self._peers.store_copy(effect.peer, effect.message)
         self._submit(CopyAnswered(effect.request, reply))
 
-    def _ask_copies(self, effect: AskCopies) -> None:
-        reply = self._peers.ask_copies(effect.peer, effect.inquiry)
-        requests = tuple(RequestId(request) for request in effect.inquiry.requests)
+    def _query_copies(self, effect: QueryCopies) -> None:
+        reply = self._peers.query_copies(effect.peer, effect.query)
+        requests = tuple(RequestId(request) for request in effect.query.requests)
         self._submit(CopiesAnswered(effect.node, requests, reply))
 
-    def _hand_over(self, effect: HandOver) -> None:
+    def _send_handover(self, effect: SendHandover) -> None:
         reply = self._peers.hand_over(effect.peer, effect.message)
         self._submit(HandoverAnswered(effect.node, effect.message.id, reply))
--- a/poplarrelay/node/mailboxes.py
+++ b/poplarrelay/node/mailboxes.py
@@ -11,9 +11,9 @@
 from poplarrelay.identifiers import RequestId
 from poplarrelay.messages.effects import (
     AcceptDeferred,
-    Conclude,
+    EndRequest,
     MoveAttempt,
-    Reject,
+    RejectRequest,
     RunAttempt,
 )
 from poplarrelay.messages.questions import CallId
@@ -21,7 +21,7 @@
 
 __all__ = ["CallTimedOut", "Instruction", "Mailbox", "Mailboxes"]
 
-Instruction = RunAttempt | Conclude | Reject | AcceptDeferred
+Instruction = RunAttempt | EndRequest | RejectRequest | AcceptDeferred
 
 
 class CallTimedOut(PoplarrelayError):
@@ -40,10 +40,10 @@
     def __init__(self) -> None:
         self._instructions: SimpleQueue[Instruction] = SimpleQueue()
         self._plan: MovePlan | None = None
-        self._concluded: Conclude | None = None
+        self._concluded: EndRequest | None = None
 
     @property
-    def concluded(self) -> Conclude | None:
+    def concluded(self) -> EndRequest | None:
         """Return the final outcome, if it is known already."""
         return self._concluded
 
@@ -52,7 +52,7 @@
         if isinstance(instruction, MoveAttempt):
             self._plan = instruction.plan
             return
-        if isinstance(instruction, Conclude):
+        if isinstance(instruction, EndRequest):
             self._concluded = instruction
         self._instructions.put(instruction)
 
--- a/poplarrelay/node/metrics.py
+++ b/poplarrelay/node/metrics.py
@@ -10,20 +10,20 @@
 from aioprometheus import Gauge, Histogram, Registry
 from aioprometheus.renderer import render
 
-from poplarrelay.messages.effects import Count, Counter, Observe
+from poplarrelay.messages.effects import IncrementCounter, Metric, ObserveValue
 
 __all__ = ["NodeMetrics"]
 
 FIRST_TOKEN_BUCKETS = [0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 1.7, 3.0, 5.0, 10.0]
 _HELP = {
-    Counter.ACCEPTED: "Requests accepted, by class and team.",
-    Counter.OUTCOMES: "Requests ended, by class, outcome and team.",
-    Counter.ATTEMPTS: "Attempts sent to endpoints, by team.",
-    Counter.RETRIES: "Attempts after a failed one, by the failure.",
-    Counter.MOVES: "Attempts moved off leaving endpoints, by way.",
-    Counter.RECOMPUTED: "Tokens computed again, by cause.",
-    Counter.LATE: "Requests that reached their deadline, by class.",
-    Counter.REJECTED: "Requests that were not acceptable, by type.",
+    Metric.ACCEPTED: "Requests accepted, by class and team.",
+    Metric.OUTCOMES: "Requests ended, by class, outcome and team.",
+    Metric.ATTEMPTS: "Attempts sent to endpoints, by team.",
+    Metric.RETRIES: "Attempts after a failed one, by the failure.",
+    Metric.MOVES: "Attempts moved off leaving endpoints, by way.",
+    Metric.RECOMPUTED: "Tokens computed again, by cause.",
+    Metric.LATE: "Requests that reached their deadline, by class.",
+    Metric.REJECTED: "Requests that were not acceptable, by type.",
 }
 PREFIX = "poplarrelay_"
 
@@ -41,13 +41,13 @@
         self._lock = threading.Lock()
         self._registry = Registry()
         self._counters = {
-            counter: PrometheusCounter(
-                f"{PREFIX}{counter.value}_total", text, registry=self._registry
+            metric: PrometheusCounter(
+                f"{PREFIX}{metric.value}_total", text, registry=self._registry
             )
-            for counter, text in _HELP.items()
+            for metric, text in _HELP.items()
         }
         self._first_token = Histogram(
-            f"{PREFIX}{Counter.FIRST_TOKEN.value}",
+            f"{PREFIX}{Metric.FIRST_TOKEN.value}",
             "Seconds from arrival to the first token, by class.",
             buckets=FIRST_TOKEN_BUCKETS,
             registry=self._registry,
@@ -68,12 +68,12 @@
             registry=self._registry,
         )
 
-    def count(self, effect: Count) -> None:
+    def count(self, effect: IncrementCounter) -> None:
         """Add to a counter."""
         with self._lock:
-            self._counters[effect.counter].add(dict(effect.labels), effect.amount)
+            self._counters[effect.metric].add(dict(effect.labels), effect.amount)
 
-    def observe(self, effect: Observe) -> None:
+    def observe(self, effect: ObserveValue) -> None:
         """Add a value to a histogram."""
         with self._lock:
             self._first_token.observe(dict(effect.labels), effect.value)
@@ -84,7 +84,7 @@
             self._dropped.inc({"why": why})
 
     def add(self, path: str, sent: int, received: int) -> None:
-        """Count the bytes of one call; see `poplarrelay.providers.http.CallMeter`."""
+        """Count bytes of one call; see `poplarrelay.providers.http.TrafficMeter`."""
         kind = path.split("/", 2)[1].split("?")[0]
         with self._lock:
             self._bytes.add({"kind": kind, "way": "sent"}, sent)
--- a/poplarrelay/node/peering.py
+++ b/poplarrelay/node/peer_client.py
@@ -9,22 +9,22 @@
 from pydantic import BaseModel, ValidationError
 
 from poplarrelay.messages.gossip import (
-    CopyInquiry,
     CopyMessage,
+    CopyQuery,
     CopyReply,
-    CopyStandings,
+    CopyStatuses,
     HandoverMessage,
     HandoverReply,
-    KeyQuestion,
+    KeyQuery,
     KeyReply,
+    OutcomeMessage,
     ProbeMessage,
-    StoredAnswer,
-    StoredRequest,
+    RequestMessage,
 )
 from poplarrelay.messages.records import SnapshotRecord
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 
-__all__ = ["PeerClient", "ThroughMessage"]
+__all__ = ["IndirectProbe", "PeerClient"]
 
 #: Seconds that a question about a key may take.
 KEY_TIMEOUT_S = 0.6
@@ -38,7 +38,7 @@
 ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
-class ThroughMessage(BaseModel):
+class IndirectProbe(BaseModel):
     """Ask a peer to probe another one."""
 
     target: str
@@ -50,14 +50,14 @@
 
     Parameters
     ----------
-    caller : JsonCaller
+    http_client : JsonHttpClient
         Makes the calls.
     probe_timeout_s : float
         Seconds that a probe may take.
     """
 
-    def __init__(self, caller: JsonCaller, probe_timeout_s: float) -> None:
-        self._caller = caller
+    def __init__(self, http_client: JsonHttpClient, probe_timeout_s: float) -> None:
+        self._http_client = http_client
         self._probe_timeout_s = probe_timeout_s
         self._pool = ThreadPoolExecutor(16, "ask")
 
@@ -83,7 +83,7 @@
         timeout_s: float,
     ) -> ModelT | None:
         try:
-            reply = self._caller.call(method, peer, path, body, timeout_s)
+            reply = self._http_client.call(method, peer, path, body, timeout_s)
         except CallFailed:
             return None
         if not reply.ok:
@@ -101,7 +101,7 @@
         answer = self._post(peer, "/peer/probe", message, ProbeMessage, timeout)
         if answer is not None or not helpers:
             return answer
-        through = ThroughMessage(target=peer, message=message)
+        through = IndirectProbe(target=peer, message=message)
         for helper in helpers:
             answer = self._post(
                 helper, "/peer/through", through, ProbeMessage, 2 * timeout
@@ -110,21 +110,21 @@
                 return answer
         return None
 
-    def ask_key(self, peer: str, question: KeyQuestion) -> KeyReply | None:
+    def query_key(self, peer: str, query: KeyQuery) -> KeyReply | None:
         """Ask what became of a key."""
-        return self._post(peer, "/peer/key", question, KeyReply, KEY_TIMEOUT_S)
+        return self._post(peer, "/peer/key", query, KeyReply, KEY_TIMEOUT_S)
 
-    def all_absent(self, peers: Sequence[str], question: KeyQuestion) -> bool:
+    def all_absent(self, peers: Sequence[str], query: KeyQuery) -> bool:
         """Return whether every peer says that it knows nothing of a key."""
-        replies = self._pool.map(lambda peer: self.ask_key(peer, question), peers)
+        replies = self._pool.map(lambda peer: self.query_key(peer, query), peers)
         return all(reply is not None and reply.state == "absent" for reply in replies)
 
     def forward(
-        self, peer: str, stored: StoredRequest, timeout_s: float
+        self, peer: str, stored: RequestMessage, timeout_s: float
     ) -> KeyReply | None:
         """Let a peer run a request whose ticket names it."""
         timeout = max(0.0, timeout_s) + FORWARD_GRACE_S
-        answer = self._post(peer, "/peer/forward", stored, StoredAnswer, timeout)
+        answer = self._post(peer, "/peer/forward", stored, OutcomeMessage, timeout)
         if answer is None:
             return None
         return KeyReply(state="finished", outcome=answer)
@@ -140,13 +140,13 @@
             TRANSFER_TIMEOUT_S,
         )
 
-    def keep_copy(self, peer: str, message: CopyMessage) -> CopyReply | None:
+    def store_copy(self, peer: str, message: CopyMessage) -> CopyReply | None:
         """Give a peer a copy of a deferred request."""
         return self._post(peer, "/peer/copy", message, CopyReply, COPY_TIMEOUT_S)
 
-    def ask_copies(self, peer: str, inquiry: CopyInquiry) -> CopyStandings | None:
+    def query_copies(self, peer: str, query: CopyQuery) -> CopyStatuses | None:
         """Ask what a peer has of requests whose home is gone."""
-        return self._post(peer, "/peer/copies", inquiry, CopyStandings, COPY_TIMEOUT_S)
+        return self._post(peer, "/peer/copies", query, CopyStatuses, COPY_TIMEOUT_S)
 
     def hand_over(self, peer: str, message: HandoverMessage) -> HandoverReply | None:
         """Hand over to a peer."""
--- a/poplarrelay/node/peers.py
+++ b/poplarrelay/node/peer_handlers.py
@@ -19,42 +19,42 @@
 )
 from poplarrelay.identifiers import IdempotencyKey, Offset, RequestId, TeamId
 from poplarrelay.messages.calls import RequestArrived
-from poplarrelay.messages.convert import load_work, store_outcome
+from poplarrelay.messages.encoding import decode_work, encode_outcome
 from poplarrelay.messages.gossip import (
-    CopyInquiry,
     CopyMessage,
+    CopyQuery,
     CopyReply,
     HandoverMessage,
-    KeyQuestion,
+    KeyQuery,
+    OutcomeMessage,
     ProbeMessage,
-    StoredAnswer,
-    StoredRequest,
+    RequestMessage,
 )
 from poplarrelay.messages.peers import (
     ConfigurationAsked,
-    CopiesAsked,
+    CopiesQueried,
     CopyReceived,
     HandoverReceived,
-    KeyAsked,
+    KeyQueried,
     ProbeReceived,
 )
 from poplarrelay.messages.questions import (
     ChangeAsked,
     HistoryAsked,
-    RequestLookedUp,
+    LookupAsked,
     ShutdownAsked,
     StatusAsked,
 )
-from poplarrelay.node.callers import COPY_FIELD, lookup_document, read_token
+from poplarrelay.node.caller_handlers import COPY_FIELD, lookup_document, read_token
 from poplarrelay.node.gateway import Gateway
 from poplarrelay.node.mailboxes import CallTimedOut
-from poplarrelay.node.peering import PeerClient, ThroughMessage
+from poplarrelay.node.peer_client import IndirectProbe, PeerClient
 from poplarrelay.node.sessions import Ended, Rejected
 from poplarrelay.outcomes import Unknown, UnknownReason
 from poplarrelay.systems.configuring import PUBLISH_TIMEOUT_S
 from poplarrelay.systems.lookups import LookupResult
 from poplarrelay.systems.reporting import NodeStatus
-from poplarrelay.tables.configuration import Verdict
+from poplarrelay.tables.configuration import ChangeResult
 from poplarrelay.tables.requests import RequestClass
 from poplarrelay.web.exchange import answer_json, read_json, reject, require_method
 from poplarrelay.web.problems import Problem, ProblemResponse
@@ -119,7 +119,7 @@
     @cherrypy.expose
     def through(self) -> bytes:
         """Probe another node for one that cannot reach it."""
-        through = read_json(ThroughMessage, MAX_PEER_BYTES)
+        through = read_json(IndirectProbe, MAX_PEER_BYTES)
         answer = self._peers.probe(through.target, through.message, ())
         if answer is None:
             raise ProblemResponse(Problem(504, "no-answer", "It did not answer"))
@@ -128,8 +128,8 @@
     @cherrypy.expose
     def key(self) -> bytes:
         """Tell what became of a key."""
-        question = read_json(KeyQuestion, MAX_PEER_BYTES)
-        return _dump(self._ask(lambda call: KeyAsked(call, question)))
+        query = read_json(KeyQuery, MAX_PEER_BYTES)
+        return _dump(self._ask(lambda call: KeyQueried(call, query)))
 
     @cherrypy.expose
     def configuration(self) -> bytes:
@@ -156,14 +156,14 @@
     @cherrypy.expose
     def copies(self) -> bytes:
         """Tell what this node has of requests whose home is gone."""
-        inquiry = read_json(CopyInquiry, MAX_PEER_BYTES)
-        return _dump(self._ask(lambda call: CopiesAsked(call, inquiry)))
+        query = read_json(CopyQuery, MAX_PEER_BYTES)
+        return _dump(self._ask(lambda call: CopiesQueried(call, query)))
 
     @cherrypy.expose
     def requests(self, request: str, team: str) -> bytes:
         """Tell what became of a deferred request."""
         found = self._ask(
-            lambda call: RequestLookedUp(
+            lambda call: LookupAsked(
                 call, "", RequestId(request), TeamId(team), forwarded=True
             )
         )
@@ -178,11 +178,11 @@
     @cherrypy.expose
     def forward(self) -> bytes:
         """Run a request whose ticket names this node."""
-        stored = read_json(StoredRequest, MAX_PEER_BYTES)
+        stored = read_json(RequestMessage, MAX_PEER_BYTES)
         arrived = RequestArrived(
             id=self._gateway.new_request_id(),
             token_sha256="",
-            work=load_work(stored),
+            work=decode_work(stored),
             request_class=RequestClass(stored.request_class),
             timeout_s=stored.remaining_s,
             received=self._gateway.received(),
@@ -199,13 +199,13 @@
             events.close()
 
 
-def _forwarded(events: object) -> StoredAnswer:
+def _forwarded(events: object) -> OutcomeMessage:
     for event in events:  # type: ignore[attr-defined]
         if isinstance(event, Ended):
-            return store_outcome(event.outcome)
+            return encode_outcome(event.outcome)
         if isinstance(event, Rejected):
             raise reject(event.error)
-    return store_outcome(Unknown(UnknownReason.ATTEMPT_BROKEN))
+    return encode_outcome(Unknown(UnknownReason.ATTEMPT_BROKEN))
 
 
 def _dump(value: object) -> bytes:
@@ -264,7 +264,7 @@
 
 
 def _verdict(verdict: object) -> bytes:
-    if isinstance(verdict, Verdict):
+    if isinstance(verdict, ChangeResult):
         return answer_json({"status": "accepted", "offset": verdict.winner})
     cherrypy.response.headers["Content-Type"] = "application/problem+json"
     document: dict[str, object] = {"detail": str(verdict)}
--- a/poplarrelay/node/process.py
+++ b/poplarrelay/node/process.py
@@ -15,17 +15,17 @@
 from poplarrelay.identifiers import Incarnation
 from poplarrelay.messages.questions import ShutdownAsked
 from poplarrelay.node.arrivals import ArrivalClock
-from poplarrelay.node.callers import CallersRoot
+from poplarrelay.node.caller_handlers import CallersRoot
+from poplarrelay.node.effect_executor import EffectExecutor
 from poplarrelay.node.gateway import Gateway
-from poplarrelay.node.logworkers import LogAppender, LogReader
+from poplarrelay.node.log_threads import LogAppender, LogReader
 from poplarrelay.node.loop import TickLoop
 from poplarrelay.node.mailboxes import Mailboxes
 from poplarrelay.node.metrics import NodeMetrics
-from poplarrelay.node.outbox import Outbox
-from poplarrelay.node.peering import PeerClient
-from poplarrelay.node.peers import MAX_PEER_BYTES, PeersRoot
+from poplarrelay.node.peer_client import PeerClient
+from poplarrelay.node.peer_handlers import MAX_PEER_BYTES, PeersRoot
 from poplarrelay.providers.hosts import HttpCloud, HttpHostList
-from poplarrelay.providers.http import JsonCaller
+from poplarrelay.providers.http import JsonHttpClient
 from poplarrelay.providers.log import HttpLogService
 from poplarrelay.settings import NodeSettings
 from poplarrelay.tables.world import CLAIMS, CONFIGURATION, World
@@ -73,27 +73,31 @@
         )
         self._mailboxes = Mailboxes()
         self._metrics = NodeMetrics()
-        self._caller = JsonCaller(timing.connect_timeout_s, meter=self._metrics)
+        self._http_client = JsonHttpClient(
+            timing.connect_timeout_s, meter=self._metrics
+        )
         self._arrivals = ArrivalClock()
         self._loop = TickLoop(self._world, self._perform, self._arrivals.beat)
-        log = HttpLogService(settings.platform.log, timing.log_timeout_s, self._caller)
+        log = HttpLogService(
+            settings.platform.log, timing.log_timeout_s, self._http_client
+        )
         rng = random.Random(self._seed)
         self._appender = LogAppender(log, self._loop.submit, rng)
         self._readers = [
             LogReader(stream, log, self._loop.submit, timing.log_wait_s, rng)
             for stream in (CONFIGURATION, CLAIMS)
         ]
-        self._cloud = HttpCloud(settings.platform.cloud, self._caller)
-        peers = PeerClient(self._caller, timing.probe_timeout_s)
-        self._outbox = Outbox(
+        self._cloud = HttpCloud(settings.platform.cloud, self._http_client)
+        peers = PeerClient(self._http_client, timing.probe_timeout_s)
+        self._effect_executor = EffectExecutor(
             submit=self._loop.submit,
             mailboxes=self._mailboxes,
             metrics=self._metrics,
             appender=self._appender,
             peers=peers,
-            host_list=HttpHostList(settings.platform.hosts, self._caller),
+            host_list=HttpHostList(settings.platform.hosts, self._http_client),
             cloud=self._cloud,
-            caller=self._caller,
+            http_client=self._http_client,
             deferred_threads=settings.limits.deferred_threads,
             order_timeout_s=timing.order_timeout_s,
             stop=self._stop,
@@ -106,11 +110,11 @@
             self._metrics,
             self._arrivals,
             HttpEngine(
-                timing.connect_timeout_s, timing.progress_timeout_s, self._caller
+                timing.connect_timeout_s, timing.progress_timeout_s, self._http_client
             ),
             HttpService(timing.connect_timeout_s),
         )
-        self._outbox.set_runtime(gateway)
+        self._effect_executor.set_runtime(gateway)
         self._callers = self._callers_listener(gateway)
         self._peers = self._peers_listener(gateway, peers)
 
@@ -124,7 +128,7 @@
         bounds = ListenerLimits(
             settings.callers.threads, limits.max_header_bytes, limits.max_body_bytes
         )
-        root = CallersRoot(gateway, self._caller)
+        root = CallersRoot(gateway, self._http_client)
         return Listener(settings.callers.host, settings.callers.port, root, bounds)
 
     def _peers_listener(self, gateway: Gateway, peers: PeerClient) -> Listener:
@@ -138,7 +142,7 @@
         return Listener(settings.peers.host, settings.peers.port, root, bounds)
 
     def _perform(self, effect) -> None:  # type: ignore[no-untyped-def]
-        self._outbox.perform(effect)
+        self._effect_executor.perform(effect)
 
     def _stop(self, clean: bool) -> None:
         self._clean = clean
--- a/poplarrelay/node/sessions.py
+++ b/poplarrelay/node/sessions.py
@@ -27,18 +27,18 @@
     AttemptEnded,
     AttemptProgressed,
     AttemptResult,
-    CallerGone,
+    CallerDisconnected,
 )
 from poplarrelay.messages.effects import (
     AcceptDeferred,
-    Conclude,
-    Reject,
+    EndRequest,
+    RejectRequest,
     RunAttempt,
 )
 from poplarrelay.messages.inbox import Message
 from poplarrelay.node.mailboxes import Mailbox
 from poplarrelay.outcomes import Answered, Outcome, ServiceAnswer, Usage
-from poplarrelay.tables.requests import Attempt, MovePlan, MoveWay, WorkKind
+from poplarrelay.tables.requests import Attempt, MoveMethod, MovePlan, WorkKind
 
 __all__ = [
     "Accepted",
@@ -195,17 +195,19 @@
             if not ended:
                 self._abandon()
 
-    def _final(self, instruction: Conclude | Reject | AcceptDeferred) -> CallerEvent:
-        if isinstance(instruction, Conclude):
+    def _final(
+        self, instruction: EndRequest | RejectRequest | AcceptDeferred
+    ) -> CallerEvent:
+        if isinstance(instruction, EndRequest):
             return Ended(instruction.outcome, self._progress.next_index)
-        if isinstance(instruction, Reject):
+        if isinstance(instruction, RejectRequest):
             return Rejected(instruction.error)
         return Accepted()
 
     def _abandon(self) -> None:
         if self._running is not None:
             self._runtime.cancel(self._running)
-        self._runtime.submit(CallerGone(self._request))
+        self._runtime.submit(CallerDisconnected(self._request))
 
     def run_attempt(self, order: RunAttempt) -> Iterator[CallerEvent]:
         """Run one attempt and tell the tick thread how it ended.
@@ -323,7 +325,7 @@
 
     def _export(self, attempt: Attempt, plan: MovePlan) -> bool:
         """Begin to move the cache; the stream goes on to the exported end."""
-        if plan.way is not MoveWay.MOVE_CACHE:
+        if plan.way is not MoveMethod.MOVE_CACHE:
             return False
         self._exporting = plan
         return self._runtime.engine.export_cache(attempt)
--- a/poplarrelay/node/tests/test_bad_input.py
+++ b/poplarrelay/node/tests/test_bad_input.py
@@ -31,7 +31,7 @@
 def _post(site, node, body, path=PATH, token=TOKEN, **headers):
     headers = {name.replace("_", "-"): value for name, value in headers.items()}
     headers["Authorization"] = f"Bearer {token}"
-    return site.caller.call(
+    return site.http_client.call(
         "POST", node.address, path, body, timeout_s=10.0, headers=headers
     )
 
@@ -83,16 +83,16 @@
 
 
 def test_missing_token_is_refused(site, node):
-    reply = site.caller.call("POST", node.address, PATH, GOOD)
+    reply = site.http_client.call("POST", node.address, PATH, GOOD)
     assert reply.status == 401
 
 
 def test_method_that_is_not_allowed(site, node):
-    assert site.caller.call("GET", node.address, PATH).status == 405
+    assert site.http_client.call("GET", node.address, PATH).status == 405
 
 
 def test_unknown_path(site, node):
-    reply = site.caller.call("GET", node.address, "/nowhere")
+    reply = site.http_client.call("GET", node.address, "/nowhere")
     assert reply.status == 404
     assert reply.value["type"].endswith("not-found")
 
--- a/poplarrelay/node/tests/test_peering.py
+++ b/poplarrelay/node/tests/test_peering.py
@@ -1,13 +1,13 @@
 """Calls from one node to another."""
 
-from poplarrelay.messages.convert import store_outcome, store_request
-from poplarrelay.node.peering import PeerClient
+from poplarrelay.messages.encoding import encode_outcome, encode_request
+from poplarrelay.node.peer_client import PeerClient
 from poplarrelay.outcomes import NotRun, NotRunReason
-from poplarrelay.providers.http import JsonCaller, JsonReply
+from poplarrelay.providers.http import JsonHttpClient, JsonReply
 from poplarrelay.testing.fakes import FakeSystem
 
 
-class Recorder(JsonCaller):
+class Recorder(JsonHttpClient):
     """Answers each call with an outcome, and keeps what was sent."""
 
     def __init__(self):
@@ -16,7 +16,7 @@
 
     def call(self, method, address, path, body=None, timeout_s=1.0, headers=None):
         self.bodies.append(body)
-        outcome = store_outcome(NotRun(NotRunReason.REFUSED))
+        outcome = encode_outcome(NotRun(NotRunReason.REFUSED))
         return JsonReply(200, outcome.model_dump(mode="json"))
 
 
@@ -28,7 +28,7 @@
     (request,) = system.nodes["n1"].world.requests.values()
     request.copies = 0
     recorder = Recorder()
-    stored = store_request(request, system.now)
+    stored = encode_request(request, system.now)
     reply = PeerClient(recorder, 1.0).forward("n2:1", stored, 1.0)
     assert reply is not None
     assert "copies" not in recorder.bodies[0]
--- a/poplarrelay/platform/cloud.py
+++ b/poplarrelay/platform/cloud.py
@@ -14,7 +14,7 @@
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.identifiers import DomainId, NodeId, TeamId
 
-__all__ = ["CloudApi", "CloudOutcome", "DutyStamp", "EndpointOrder"]
+__all__ = ["CloudClient", "CloudOutcome", "DutyStamp", "EndpointOrder"]
 
 #: Seconds for a new connection, and for an answer. A lost answer is as good as a
 #: late one: both calls may be repeated.
@@ -60,7 +60,7 @@
     reclaimable: bool
 
 
-class CloudApi:
+class CloudClient:
     """Calls to the platform's API.
 
     Parameters
--- a/poplarrelay/platform/headers.py
+++ b/poplarrelay/platform/headers.py
@@ -174,7 +174,7 @@
         key=_bearer(header_value(headers, b"authorization")),
         credentials=header_value(headers, b"authorization"),
         prompt_tokens=prompt_tokens,
-        most_output_tokens=most_output,
+        max_output_tokens=most_output,
         prefix=_prefix(header_value(headers, _PREFIX)),
         last_event_id=header_value(headers, _LAST_EVENT.lower()),
     )
