--- a/poplarrelay/platform/store.py
+++ b/poplarrelay/platform/store.py
@@ -26,14 +26,14 @@
 
 __all__ = [
     "ANSWER_TIMEOUT_S",
-    "Appender",
     "GroupShare",
     "KeyedRecord",
     "LogPage",
+    "Producer",
     "Store",
     "keyed_topic",
+    "parse_page",
     "split_keyed",
-    "split_page",
 ]
 
 _LOG = logging.getLogger("poplarrelay.platform.store")
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Appender:
+class Producer:
     """Who appends, so that a writer that was replaced cannot append any more.
 
     Attributes
@@ -132,7 +132,7 @@
     -----
     A call that raises `PlatformUnavailable` without a status may have been carried
     out, or may be carried out seconds later. Reads and joins are simply repeated;
-    appends name an `Appender`, so that a repetition is recognised.
+    appends name an `Producer`, so that a repetition is recognised.
     """
 
     def __init__(self, address: Address) -> None:
@@ -240,7 +240,7 @@
         topic: str,
         partition: int,
         records: list[bytes],
-        appender: Appender | None = None,
+        producer: Producer | None = None,
     ) -> Offset:
         """Append records, all or none, and return the offset after the last.
 
@@ -251,7 +251,7 @@
         records : list of bytes
             What to append; nothing is appended by an empty list, which only
             shuts out appenders of lower epochs.
-        appender : Appender or None
+        producer : Producer or None
             Who appends, None where nobody competes.
 
         Raises
@@ -260,10 +260,10 @@
             If a newer appender has taken over.
         """
         query: dict[str, Any] = {"topic": topic, "part": partition}
-        if appender is not None:
-            query["producer"] = appender.name
-            query["epoch"] = appender.epoch
-            query["sequence"] = appender.sequence
+        if producer is not None:
+            query["producer"] = producer.name
+            query["epoch"] = producer.epoch
+            query["sequence"] = producer.sequence
         body = b"".join(_LENGTH.pack(len(record)) + record for record in records)
         target = f"/api/log-append?{urlencode(query)}"
         response = await self._call("append", "POST", target, body, topic=topic)
@@ -338,7 +338,7 @@
     return KeyedRecord(key, record[1 + size :] or None, offset)
 
 
-def split_page(page: LogPage, start: Offset) -> list[KeyedRecord]:
+def parse_page(page: LogPage, start: Offset) -> list[KeyedRecord]:
     """Return the records of a page of a keyed topic that was read from an offset.
 
     Notes
--- a/poplarrelay/platform/tests/test_endpoint_records.py
+++ b/poplarrelay/platform/tests/test_endpoint_records.py
@@ -8,9 +8,9 @@
 from poplarrelay.exception import PlatformRecordMalformed
 from poplarrelay.identifiers import EndpointId, Offset
 from poplarrelay.platform.records import decode_configuration, decode_endpoint
-from poplarrelay.platform.store import LogPage, split_page
-from poplarrelay.testing.lists import endpoint_record
-from poplarrelay.testing.users import users_configuration
+from poplarrelay.platform.store import LogPage, parse_page
+from poplarrelay.testing.endpoint_lists import endpoint_record
+from poplarrelay.testing.entry_site import entry_configuration
 
 R1 = EndpointId("r1")
 
@@ -91,20 +91,20 @@
     # One such record raised an error that ended the process, on every node at once.
     good = b"\x02r1" + endpoint_record()
     page = LogPage((good, record, good), Offset(13), Offset(13))
-    found = split_page(page, Offset(10))
+    found = parse_page(page, Offset(10))
     assert [(keyed.key, keyed.offset) for keyed in found] == [("r1", 10), ("r1", 12)]
 
 
 @pytest.mark.parametrize("version", ["9", 9.0, True, None, [9]], ids=repr)
 def test_configuration_without_a_whole_version_is_none(version):
-    content = orjson.dumps({**users_configuration(9), "version": version})
+    content = orjson.dumps({**entry_configuration(9), "version": version})
     with pytest.raises(PlatformRecordMalformed):
         decode_configuration(content)
 
 
 @given(st.integers(0, 3000))
 def test_half_a_configuration_is_none(size):
-    content = orjson.dumps(users_configuration(9))
+    content = orjson.dumps(entry_configuration(9))
     if size < len(content):
         with pytest.raises(PlatformRecordMalformed):
             decode_configuration(content[:size])
--- a/poplarrelay/providers/hosts.py
+++ b/poplarrelay/providers/hosts.py
@@ -11,11 +11,11 @@
 from poplarrelay.messages.effects import StartHost, StopHost
 from poplarrelay.messages.platform import (
     HostRow,
-    NoticeHeard,
+    NoticeReceived,
     NoticeSource,
     StartedHost,
 )
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 from poplarrelay.tables.endpoints import EndpointKind
 
 __all__ = [
@@ -51,7 +51,7 @@
     """Notices, and where to go on reading."""
 
     next: int
-    notices: tuple[NoticeHeard, ...]
+    notices: tuple[NoticeReceived, ...]
 
 
 class CloudNotices(Protocol):
@@ -82,9 +82,9 @@
     )
 
 
-def _notice(item: dict[str, Any]) -> NoticeHeard:
+def _notice(item: dict[str, Any]) -> NoticeReceived:
     endpoint, domain = item.get("endpoint"), item.get("failure_domain")
-    return NoticeHeard(
+    return NoticeReceived(
         remaining_s=float(item["remaining_s"]),
         source=NoticeSource.CLOUD,
         endpoint=None if endpoint is None else EndpointId(endpoint),
@@ -142,9 +142,9 @@
     has changed (``If-None-Match``).
     """
 
-    def __init__(self, address: str, caller: JsonCaller) -> None:
+    def __init__(self, address: str, http_client: JsonHttpClient) -> None:
         self._address = address
-        self._caller = caller
+        self._http_client = http_client
         self._tag: str | None = None
         self._rows: tuple[HostRow, ...] = ()
 
@@ -152,7 +152,9 @@
         """Return all endpoints."""
         condition = {} if self._tag is None else {"If-None-Match": self._tag}
         try:
-            reply = self._caller.call("GET", self._address, "/hosts", headers=condition)
+            reply = self._http_client.call(
+                "GET", self._address, "/hosts", headers=condition
+            )
             if reply.status == NOT_MODIFIED:
                 return self._rows
             if not reply.ok:
@@ -167,15 +169,15 @@
 class HttpCloud:
     """The cloud API over its HTTP interface."""
 
-    def __init__(self, address: str, caller: JsonCaller) -> None:
+    def __init__(self, address: str, http_client: JsonHttpClient) -> None:
         self._address = address
-        self._caller = caller
+        self._http_client = http_client
 
     def notices(self, start: int, wait_s: float) -> Notices:
         """Return notices from number `start` on, waiting for the first one."""
         path = f"/notices?from={start}&wait_ms={int(wait_s * 1000)}"
         try:
-            reply = self._caller.call(
+            reply = self._http_client.call(
                 "GET", self._address, path, timeout_s=wait_s + 1.0
             )
             if not reply.ok:
@@ -189,7 +191,7 @@
     def started(self) -> tuple[StartedHost, ...]:
         """Return all hosts that were started and not yet stopped."""
         try:
-            reply = self._caller.call("GET", self._address, "/starts")
+            reply = self._http_client.call("GET", self._address, "/starts")
             if not reply.ok:
                 raise PlatformError(f"status {reply.status}")
             return tuple(_started(item) for item in reply.value["starts"])
@@ -204,7 +206,7 @@
         The lease's remaining term is compared right before the call, since the
         process may have been paused after the tick thread decided.
         """
-        if time.monotonic() >= order.latest:
+        if time.monotonic() >= order.expires_at:
             raise PlatformError("the lease is over")
         body = {
             "token": order.token,
@@ -213,7 +215,7 @@
             "failure_domain": order.domain,
         }
         try:
-            reply = self._caller.call(
+            reply = self._http_client.call(
                 "POST", self._address, "/starts", body, START_TIMEOUT_S
             )
         except CallFailed as error:
@@ -222,10 +224,12 @@
 
     def stop(self, order: StopHost) -> None:
         """Stop a host after its grace; failures show in the next list."""
-        if time.monotonic() >= order.latest:
+        if time.monotonic() >= order.expires_at:
             return
         body = {"token": order.token, "grace_s": order.grace_s}
         try:
-            self._caller.call("POST", self._address, "/stops", body, START_TIMEOUT_S)
+            self._http_client.call(
+                "POST", self._address, "/stops", body, START_TIMEOUT_S
+            )
         except CallFailed as error:
             raise PlatformError("the cloud API gave no answer") from error
--- a/poplarrelay/providers/http.py
+++ b/poplarrelay/providers/http.py
@@ -16,7 +16,7 @@
 
 from poplarrelay.exception import PoplarrelayError
 
-__all__ = ["CallFailed", "CallMeter", "JsonCaller", "JsonReply"]
+__all__ = ["CallFailed", "JsonHttpClient", "JsonReply", "TrafficMeter"]
 
 #: Bytes of a call's request line and headers beyond its path, about.
 HEAD_BYTES = 140
@@ -59,7 +59,7 @@
         return None
 
 
-class CallMeter(Protocol):
+class TrafficMeter(Protocol):
     """Counts the bytes of calls."""
 
     def add(self, path: str, sent: int, received: int) -> None:
@@ -71,7 +71,7 @@
     return sum(len(name) + len(value) + 4 for name, value in headers.items())
 
 
-class JsonCaller:
+class JsonHttpClient:
     """Makes calls to any address.
 
     Parameters
@@ -82,7 +82,7 @@
         Addresses to which connections are kept.
     connections : int
         Connections kept to one address.
-    meter : CallMeter or None
+    meter : TrafficMeter or None
         Counts the bytes of all calls.
 
     Notes
@@ -96,7 +96,7 @@
         connect_timeout_s: float,
         pools: int = 64,
         connections: int = 16,
-        meter: CallMeter | None = None,
+        meter: TrafficMeter | None = None,
     ) -> None:
         self._meter = meter
         self._connect_timeout_s = connect_timeout_s
--- a/poplarrelay/providers/log.py
+++ b/poplarrelay/providers/log.py
@@ -9,7 +9,7 @@
 from poplarrelay.exception import LogRefused, LogUnavailable
 from poplarrelay.identifiers import Offset, StreamName
 from poplarrelay.messages.records import Record, RecordValue, encode_record, read_record
-from poplarrelay.providers.http import CallFailed, JsonCaller, JsonReply
+from poplarrelay.providers.http import CallFailed, JsonHttpClient, JsonReply
 
 __all__ = ["HttpLogService", "LogBatch", "LogService"]
 
@@ -82,10 +82,12 @@
         Seconds that an append, or a read beyond its wait, may take.
     """
 
-    def __init__(self, address: str, timeout_s: float, caller: JsonCaller) -> None:
+    def __init__(
+        self, address: str, timeout_s: float, http_client: JsonHttpClient
+    ) -> None:
         self._address = address
         self._timeout_s = timeout_s
-        self._caller = caller
+        self._http_client = http_client
 
     def append(self, stream: StreamName, values: Sequence[RecordValue]) -> Offset:
         """Append records in one step and return the first one's offset."""
@@ -113,7 +115,7 @@
         self, method: str, path: str, body: Any, timeout_s: float
     ) -> dict[str, Any]:
         try:
-            reply = self._caller.call(method, self._address, path, body, timeout_s)
+            reply = self._http_client.call(method, self._address, path, body, timeout_s)
         except CallFailed as error:
             raise LogUnavailable(str(error)) from error
         if reply.status == 429:
--- a/poplarrelay/replay/judge.py
+++ b/poplarrelay/replay/judge.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from poplarrelay.replay.runner import Replay, RequestResult, Word
+from poplarrelay.replay.runner import Replay, ReplayOutcome, RequestResult
 from poplarrelay.replay.trace import Trace
 from poplarrelay.tables.requests import RequestClass
 
-__all__ = ["Broken", "ClassFigures", "Judgement", "judge_replay"]
+__all__ = ["Broken", "ClassFigures", "ReplayEvaluation", "evaluate_replay"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Judgement:
+class ReplayEvaluation:
     """All figures of a replay, and what was broken."""
 
     name: str
@@ -70,7 +70,7 @@
 
 
 def _in_time(trace: Trace, result: RequestResult) -> bool:
-    if result.word is not Word.ANSWERED:
+    if result.word is not ReplayOutcome.ANSWERED:
         return False
     target = trace.head.targets_s.get(result.request.request_class)
     reached = result.first_s if result.first_s is not None else result.total_s
@@ -81,7 +81,7 @@
     first = [r.first_s for r in results if r.first_s is not None]
     return ClassFigures(
         requests=len(results),
-        answered=sum(1 for r in results if r.word is Word.ANSWERED),
+        answered=sum(1 for r in results if r.word is ReplayOutcome.ANSWERED),
         in_time=sum(1 for r in results if _in_time(trace, r)),
         median_first_s=round(_percentile(first, 0.5), 4),
         p95_first_s=round(_percentile(first, 0.95), 4),
@@ -98,7 +98,7 @@
     missed = 0
     for result in sorted(replay.results, key=lambda r: r.request.at):
         request = result.request
-        if not request.family or result.word is not Word.ANSWERED:
+        if not request.family or result.word is not ReplayOutcome.ANSWERED:
             continue
         family = (request.team, request.family)
         if family in seen:
@@ -108,22 +108,22 @@
     return missed
 
 
-def judge_replay(replay: Replay) -> Judgement:
+def evaluate_replay(replay: Replay) -> ReplayEvaluation:
     """Return the figures of a replay and every stated outcome that it broke."""
     trace, results = replay.trace, replay.results
     doubled = [r for r in results if replay.runs.get(r.run_name, 0) > 1]
     false = [
         r
         for r in results
-        if r.word is Word.NOT_RUN and replay.runs.get(r.run_name, 0) > 0
+        if r.word is ReplayOutcome.NOT_RUN and replay.runs.get(r.run_name, 0) > 0
     ]
-    lost = [r for r in results if r.word is Word.UNKNOWN]
-    fragments = [r for r in results if r.word is Word.FRAGMENT]
+    lost = [r for r in results if r.word is ReplayOutcome.UNKNOWN]
+    fragments = [r for r in results if r.word is ReplayOutcome.FRAGMENT]
     by_class = {
         each: [r for r in results if r.request.request_class is each]
         for each in RequestClass
     }
-    judgement = Judgement(
+    evaluation = ReplayEvaluation(
         name=trace.head.name,
         requests=len(results),
         seconds=round(replay.seconds, 2),
@@ -151,14 +151,14 @@
     ):
         if len(found) > bound:
             ids = tuple(r.request.id for r in found[:20])
-            judgement.broken.append(Broken(name, bound, len(found), ids))
+            evaluation.broken.append(Broken(name, bound, len(found), ids))
     for each, share in stated.in_time_share.items():
-        _judge_share(judgement, trace, each, by_class[each], share)
-    return judgement
+        _judge_share(evaluation, trace, each, by_class[each], share)
+    return evaluation
 
 
 def _judge_share(
-    judgement: Judgement,
+    evaluation: ReplayEvaluation,
     trace: Trace,
     each: RequestClass,
     results: list[RequestResult],
@@ -169,4 +169,4 @@
     if found < share:
         name = f"in_time_share.{each.value}"
         broken = Broken(name, share, round(found, 4), tuple(late[:20]))
-        judgement.broken.append(broken)
+        evaluation.broken.append(broken)
--- a/poplarrelay/replay/report.py
+++ b/poplarrelay/replay/report.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from poplarrelay.replay.judge import Judgement
+from poplarrelay.replay.judge import ReplayEvaluation
 from poplarrelay.replay.runner import Replay, RequestResult
 
 __all__ = ["report_html", "report_json"]
@@ -21,9 +21,9 @@
 """
 
 
-def report_json(judgement: Judgement) -> bytes:
+def report_json(evaluation: ReplayEvaluation) -> bytes:
     """Return the report for programs."""
-    document = {**asdict(judgement), "good": judgement.good}
+    document = {**asdict(evaluation), "good": evaluation.good}
     return orjson.dumps(document, option=orjson.OPT_INDENT_2)
 
 
@@ -64,9 +64,9 @@
     )
 
 
-def report_html(judgement: Judgement, replay: Replay) -> str:
+def report_html(evaluation: ReplayEvaluation, replay: Replay) -> str:
     """Return one self-contained page."""
-    verdict = "all stated outcomes were reached" if judgement.good else "broken"
+    verdict = "all stated outcomes were reached" if evaluation.good else "broken"
     classes = "".join(
         _row(
             name,
@@ -76,10 +76,10 @@
             figures.median_first_s,
             figures.p95_first_s,
         )
-        for name, figures in judgement.classes.items()
+        for name, figures in evaluation.classes.items()
     )
     totals = "".join(
-        _row(name.replace("_", " "), getattr(judgement, name))
+        _row(name.replace("_", " "), getattr(evaluation, name))
         for name in (
             "requests",
             "doubled",
@@ -94,12 +94,12 @@
     )
     broken = "".join(
         _row(b.outcome, b.stated, b.found, ", ".join(b.requests))
-        for b in judgement.broken
+        for b in evaluation.broken
     )
     return f"""<!doctype html>
 <html lang="en"><head><meta charset="utf-8">
-<title>{escape(judgement.name)}</title><style>{_STYLE}</style></head><body>
-<h1>{escape(judgement.name)}: <span class="{"" if judgement.good else "bad"}">
+<title>{escape(evaluation.name)}</title><style>{_STYLE}</style></head><body>
+<h1>{escape(evaluation.name)}: <span class="{"" if evaluation.good else "bad"}">
 {verdict}</span></h1>
 <h2>By class</h2><table><tr><th>class<th>requests<th>answered<th>in time
 <th>median first token, s<th>95th, s</tr>{classes}</table>
--- a/poplarrelay/replay/runner.py
+++ b/poplarrelay/replay/runner.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from poplarrelay.client import AnswerNotRun, CallerClient, CallerFailure
+from poplarrelay.client import AnswerNotRun, CallerClient, ClientError
 from poplarrelay.client.caller import CompletionResult
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 from poplarrelay.replay.target import ReplayTarget
 from poplarrelay.replay.trace import (
     EventKind,
@@ -24,12 +24,12 @@
 from poplarrelay.standins.batching import token_text
 from poplarrelay.standins.service import call_name
 
-__all__ = ["Replay", "RequestResult", "Word", "run_replay"]
+__all__ = ["Replay", "ReplayOutcome", "RequestResult", "run_replay"]
 
 WORKERS = 128
 
 
-class Word(Enum):
+class ReplayOutcome(Enum):
     """What a caller was told in the end."""
 
     ANSWERED = "answered"
@@ -51,7 +51,7 @@
     """
 
     request: TraceRequest
-    word: Word
+    word: ReplayOutcome
     first_s: float | None = None
     total_s: float = 0.0
     cached_tokens: int = 0
@@ -101,14 +101,14 @@
         try:
             result = ways[request.work](request)
         except AnswerNotRun:
-            result = RequestResult(request, Word.NOT_RUN)
-        except CallerFailure:
-            result = RequestResult(request, Word.UNKNOWN)
+            result = RequestResult(request, ReplayOutcome.NOT_RUN)
+        except ClientError:
+            result = RequestResult(request, ReplayOutcome.UNKNOWN)
         result.total_s = (time.monotonic() - began) / self._scale
         if request.work is TraceWork.SERVICE:
             if not request.may_repeat:
                 result.run_name = call_name("POST", "/confirm", _booking(request))
-            if result.word is Word.ANSWERED:
+            if result.word is ReplayOutcome.ANSWERED:
                 result.first_s = result.total_s
         return result
 
@@ -146,7 +146,7 @@
             request.timeout_s * self._scale,
             request_class=request.request_class.value,
         )
-        return RequestResult(request, Word.ANSWERED)
+        return RequestResult(request, ReplayOutcome.ANSWERED)
 
     def _defer(self, request: TraceRequest) -> RequestResult:
         prompt = make_prompt(request)
@@ -160,7 +160,7 @@
         accepted = client.defer("/v1/completions", body, timeout)
         found = client.wait_for(accepted.id, timeout)
         if found.status != "answered":
-            return RequestResult(request, Word.UNKNOWN)
+            return RequestResult(request, ReplayOutcome.UNKNOWN)
         answer = found.document["response"]
         usage = answer["usage"]
         return RequestResult(
@@ -176,10 +176,10 @@
     return b'{"booking": "%b"}' % request.id.encode()
 
 
-def _judge_text(request: TraceRequest, prompt: str, text: str) -> Word:
+def _judge_text(request: TraceRequest, prompt: str, text: str) -> ReplayOutcome:
     """Return whether an answer is whole; tokens are a function of the prompt."""
     whole = "".join(token_text(prompt, i) for i in range(request.answer_tokens))
-    return Word.ANSWERED if text == whole else Word.FRAGMENT
+    return ReplayOutcome.ANSWERED if text == whole else ReplayOutcome.FRAGMENT
 
 
 class _Platform:
@@ -188,13 +188,13 @@
     def __init__(self, target: ReplayTarget, scale: float) -> None:
         self._target = target
         self._scale = scale
-        self._caller = JsonCaller(1.0)
+        self._http_client = JsonHttpClient(1.0)
 
     def _call(self, method: str, address: str | None, path: str, body: object) -> None:
         if address is None:
             return
         try:
-            self._caller.call(method, address, path, body, timeout_s=2.0)
+            self._http_client.call(method, address, path, body, timeout_s=2.0)
         except CallFailed:
             # An endpoint that is told to end gives no answer.
             return
@@ -230,7 +230,7 @@
         total: dict[str, int] = {}
         for address in self._target.endpoints.values():
             try:
-                reply = self._caller.call("GET", address, "/runs")
+                reply = self._http_client.call("GET", address, "/runs")
             except CallFailed:
                 continue
             runs = reply.value.get("runs", {}) if reply.ok else {}
--- a/poplarrelay/replay/tests/test_replay.py
+++ b/poplarrelay/replay/tests/test_replay.py
@@ -8,9 +8,9 @@
 
 from poplarrelay.exception import SettingsError
 from poplarrelay.replay.generate import Day, generate_trace
-from poplarrelay.replay.judge import judge_replay
+from poplarrelay.replay.judge import evaluate_replay
 from poplarrelay.replay.report import report_html
-from poplarrelay.replay.runner import Replay, RequestResult, Word
+from poplarrelay.replay.runner import Replay, ReplayOutcome, RequestResult
 from poplarrelay.replay.trace import read_trace, write_trace
 from poplarrelay.testing.builders import small_site
 from poplarrelay.testing.processes import run_site
@@ -49,7 +49,7 @@
 
 def _replay(trace, **changes):
     results = [
-        RequestResult(r, Word.ANSWERED, first_s=0.1, run_name=f"run {r.id}")
+        RequestResult(r, ReplayOutcome.ANSWERED, first_s=0.1, run_name=f"run {r.id}")
         for r in trace.requests
     ]
     runs = {result.run_name: 1 for result in results}
@@ -59,35 +59,35 @@
 
 
 def test_a_good_replay_breaks_nothing(trace):
-    assert judge_replay(_replay(trace)).good
+    assert evaluate_replay(_replay(trace)).good
 
 
 @pytest.mark.parametrize(
     ("word", "outcome"),
     [
-        (Word.UNKNOWN, "lost"),
-        (Word.FRAGMENT, "fragments"),
-        (Word.NOT_RUN, "false_not_run"),
+        (ReplayOutcome.UNKNOWN, "lost"),
+        (ReplayOutcome.FRAGMENT, "fragments"),
+        (ReplayOutcome.NOT_RUN, "false_not_run"),
     ],
 )
 def test_each_broken_outcome_names_its_request(trace, word, outcome):
     replay = _replay(trace, word=word)
-    broken = {b.outcome: b for b in judge_replay(replay).broken}
+    broken = {b.outcome: b for b in evaluate_replay(replay).broken}
     assert broken[outcome].requests == (trace.requests[0].id,)
-    assert outcome in report_html(judge_replay(replay), replay)
+    assert outcome in report_html(evaluate_replay(replay), replay)
 
 
 def test_a_doubled_run_is_broken(trace):
     replay = _replay(trace)
     replay.runs[replay.results[0].run_name] = 2
-    assert [b.outcome for b in judge_replay(replay).broken] == ["doubled"]
+    assert [b.outcome for b in evaluate_replay(replay).broken] == ["doubled"]
 
 
 def test_late_answers_break_their_class(trace):
     replay = _replay(trace)
     for result in replay.results:
         result.first_s = 50.0
-    names = {b.outcome for b in judge_replay(replay).broken}
+    names = {b.outcome for b in evaluate_replay(replay).broken}
     assert "in_time_share.urgent" in names
 
 
--- a/poplarrelay/replay/trace.py
+++ b/poplarrelay/replay/trace.py
@@ -10,8 +10,8 @@
 import orjson
 from pydantic import Field, TypeAdapter, ValidationError
 
-from poplarrelay.exception import Fault, SettingsError
-from poplarrelay.settings import StrictModel, faults_of
+from poplarrelay.exception import FieldError, SettingsError
+from poplarrelay.settings import StrictModel, field_errors
 from poplarrelay.tables.requests import RequestClass
 
 __all__ = [
@@ -140,19 +140,20 @@
     try:
         content = path.read_bytes().splitlines()
     except OSError as error:
-        fault = Fault(str(path), error.strerror or "unreadable")
+        fault = FieldError(str(path), error.strerror or "unreadable")
         raise SettingsError((fault,)) from None
     for number, line in enumerate(content, 1):
         try:
             lines.append(_LINE.validate_python(orjson.loads(line), strict=False))
         except orjson.JSONDecodeError as error:
-            faults.append(Fault(f"line {number}", error.msg))
+            faults.append(FieldError(f"line {number}", error.msg))
         except ValidationError as error:
             faults += [
-                Fault(f"line {number}: {f.place}", f.problem) for f in faults_of(error)
+                FieldError(f"line {number}: {f.place}", f.problem)
+                for f in field_errors(error)
             ]
     if not faults and (not lines or not isinstance(lines[0], TraceHead)):
-        faults.append(Fault("line 1", "a trace begins with its head"))
+        faults.append(FieldError("line 1", "a trace begins with its head"))
     if faults:
         raise SettingsError(tuple(faults))
     requests = [line for line in lines if isinstance(line, TraceRequest)]
--- a/poplarrelay/settings.py
+++ b/poplarrelay/settings.py
@@ -9,7 +9,7 @@
 import orjson
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from poplarrelay.exception import Fault, SettingsError
+from poplarrelay.exception import FieldError, SettingsError
 
 __all__ = [
     "CallersSettings",
@@ -21,8 +21,8 @@
     "RoutingPolicy",
     "StrictModel",
     "TimingSettings",
-    "faults_of",
-    "load_model",
+    "field_errors",
+    "load_json_file",
 ]
 
 ADDRESS_PATTERN = r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$"
@@ -185,24 +185,24 @@
         SettingsError
             With every fault of the file.
         """
-        return load_model(cls, path)
+        return load_json_file(cls, path)
 
 
 ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
-def faults_of(error: ValidationError) -> tuple[Fault, ...]:
+def field_errors(error: ValidationError) -> tuple[FieldError, ...]:
     """Return the faults that a validation error holds, without the values.
 
     Values stay out because files hold secrets and messages are logged.
     """
     return tuple(
-        Fault(".".join(str(part) for part in item["loc"]) or "(file)", item["msg"])
+        FieldError(".".join(str(part) for part in item["loc"]) or "(file)", item["msg"])
         for item in error.errors(include_url=False, include_input=False)
     )
 
 
-def load_model(model: type[ModelT], path: Path) -> ModelT:
+def load_json_file(model: type[ModelT], path: Path) -> ModelT:
     """Read a JSON file into a checked model.
 
     Parameters
@@ -221,12 +221,12 @@
         value = orjson.loads(path.read_bytes())
     except OSError as error:
         raise SettingsError(
-            (Fault(str(path), error.strerror or "unreadable"),)
+            (FieldError(str(path), error.strerror or "unreadable"),)
         ) from None
     except orjson.JSONDecodeError as error:
         place = f"line {error.lineno}, column {error.colno}"
-        raise SettingsError((Fault(place, error.msg),)) from None
+        raise SettingsError((FieldError(place, error.msg),)) from None
     try:
         return model.model_validate(value)
     except ValidationError as error:
-        raise SettingsError(faults_of(error)) from None
+        raise SettingsError(field_errors(error)) from None
--- a/poplarrelay/standins/engine.py
+++ b/poplarrelay/standins/engine.py
@@ -15,7 +15,7 @@
 import orjson
 from pydantic import BaseModel
 
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 from poplarrelay.standins.base import MAX_BODY_BYTES, StandIn, refuse
 from poplarrelay.standins.batching import (
     Batch,
@@ -163,7 +163,7 @@
         self._role = "serve"
         self._leaving_at: float | None = None
         self._totals = {"prompt": 0, "cached": 0, "answer": 0, "attempts": 0}
-        self._caller = JsonCaller(0.5)
+        self._http_client = JsonHttpClient(0.5)
         self.v1 = _V1()
         self.v1.completions = self.completions  # type: ignore[attr-defined]
         self.v1.cancel = self.cancel  # type: ignore[attr-defined]
@@ -298,7 +298,7 @@
         if source is None:
             return False
         try:
-            reply = self._caller.call(
+            reply = self._http_client.call(
                 "GET", source.address, f"/kv/{source.export}", timeout_s=10.0
             )
         except CallFailed:
--- a/poplarrelay/standins/users/store.py
+++ b/poplarrelay/standins/users/store.py
@@ -17,7 +17,7 @@
 
 from poplarrelay.entry.http.listener import Exchange, IncomingRequest, Listener
 
-__all__ = ["Outage", "StoreDoor", "StoreStandIn"]
+__all__ = ["Outage", "StoreListener", "StoreStandIn"]
 
 #: Partitions of every topic.
 PARTITIONS = 12
@@ -72,7 +72,7 @@
     owners: dict[int, str] = field(default_factory=dict)
 
 
-class StoreDoor:
+class StoreListener:
     """One address of the store, with troubles of its own.
 
     Attributes
@@ -83,7 +83,7 @@
         Whether their calls are carried out and not answered.
     silent_topics : set of str
         Topics whose reads get no answer, while all others do.
-    missed : Counter of str
+    unanswered_reads : Counter of str
         Reads of a topic that get no answer, before all others do again.
     """
 
@@ -94,13 +94,13 @@
         self.outage = Outage.NONE
         self.lose_answers = False
         self.silent_topics: set[str] = set()
-        self.missed: Counter[str] = Counter()
+        self.unanswered_reads: Counter[str] = Counter()
 
     async def start(self) -> None:
         """Listen."""
         await self._listener.start()
 
-    def shut(self, outage: Outage) -> None:
+    def begin_outage(self, outage: Outage) -> None:
         """Begin an outage that ends the calls that wait as well."""
         self.outage = outage
         self._drop_connections()
@@ -128,9 +128,9 @@
             return
         target = incoming.target.decode()
         hidden = any(f"topic={topic}&" in target for topic in self.silent_topics)
-        for topic in [t for t, left in self.missed.items() if left > 0]:
+        for topic in [t for t, left in self.unanswered_reads.items() if left > 0]:
             if f"topic={topic}&" in target:
-                self.missed[topic] -= 1
+                self.unanswered_reads[topic] -= 1
                 hidden = True
         if hidden or self.outage is Outage.SILENT:
             await self._hang()
@@ -145,7 +145,7 @@
 
 
 class StoreStandIn:
-    """The platform's store; its addresses are `StoreDoor` objects."""
+    """The platform's store; its addresses are `StoreListener` objects."""
 
     def __init__(self) -> None:
         self._partitions: dict[tuple[str, int], _Partition] = {}
@@ -184,7 +184,7 @@
         """Return the records that a partition holds."""
         return list(self._partition(topic, part).records)
 
-    def deal_anew(self, group: str) -> None:
+    def rebalance(self, group: str) -> None:
         """Deal a group's partitions anew, as happens without any request.
 
         Each goes to the member after its owner by name: to another one, where there is.
--- a/poplarrelay/systems/admitting.py
+++ b/poplarrelay/systems/admitting.py
@@ -14,30 +14,30 @@
     UnknownService,
 )
 from poplarrelay.identifiers import TeamId
-from poplarrelay.messages.calls import CallerGone, RequestArrived
+from poplarrelay.messages.calls import CallerDisconnected, RequestArrived
 from poplarrelay.messages.effects import (
-    Conclude,
-    Count,
-    Counter,
-    Decided,
     Decision,
     Effect,
-    Reject,
+    EndRequest,
+    IncrementCounter,
+    LogDecision,
+    Metric,
+    RejectRequest,
 )
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.outcomes import NotRun, NotRunReason, Unknown, UnknownReason
 from poplarrelay.systems.concluding import conclude, outcome_tag
-from poplarrelay.systems.keying import settle_arrival
+from poplarrelay.systems.key_resolution import resolve_key
 from poplarrelay.systems.limits import (
+    answer_store_full,
     enqueue,
     fill_retry_budget,
-    memory_full,
     queue_refusal,
 )
 from poplarrelay.tables.requests import Request, RequestState, Work, WorkKind
 from poplarrelay.tables.world import NodePhase, World
 
-__all__ = ["admit_requests", "drop_callers", "rank_of", "team_of"]
+__all__ = ["admit_requests", "cancel_abandoned", "effective_rank", "team_of"]
 
 #: Seconds that a caller is told to wait before it asks another node.
 ELSEWHERE_RETRY_S = 0.2
@@ -135,7 +135,7 @@
         return None
     if now >= world.refuse_from:
         return NotRun(NotRunReason.NODE_LEAVING, ELSEWHERE_RETRY_S)
-    if request.deferred and memory_full(world):
+    if request.deferred and answer_store_full(world):
         return NotRun(NotRunReason.QUEUE_FULL, ELSEWHERE_RETRY_S)
     return queue_refusal(world, request.team)
 
@@ -147,11 +147,11 @@
             yield from _admit(world, arrived, now)
         except CallerError as error:
             world.requests.pop(arrived.id, None)
-            yield Count(Counter.REJECTED, labels=(("type", error.slug),))
-            yield Decided(
+            yield IncrementCounter(Metric.REJECTED, labels=(("type", error.slug),))
+            yield LogDecision(
                 Decision.ADMIT, (("request", arrived.id), ("rejected", error.slug))
             )
-            yield Reject(arrived.id, error)
+            yield RejectRequest(arrived.id, error)
 
 
 def _refuse(arrived: RequestArrived, outcome: NotRun | Unknown) -> Iterator[Effect]:
@@ -159,11 +159,11 @@
         ("class", arrived.request_class.value),
         ("outcome", outcome_tag(outcome)),
     )
-    yield Count(Counter.OUTCOMES, labels=labels)
-    yield Decided(
+    yield IncrementCounter(Metric.OUTCOMES, labels=labels)
+    yield LogDecision(
         Decision.ADMIT, (("request", arrived.id), ("refused", outcome.reason.value))
     )
-    yield Conclude(arrived.id, outcome)
+    yield EndRequest(arrived.id, outcome)
 
 
 def _admit(world: World, arrived: RequestArrived, now: float) -> Iterator[Effect]:
@@ -182,14 +182,14 @@
         return
     fill_retry_budget(world, policy)
     world.requests[request.id] = request
-    yield from settle_arrival(world, request, arrived.forwarded, now)
+    yield from resolve_key(world, request, arrived.forwarded, now)
     labels = (("class", request.request_class.value), ("team", team))
-    yield Count(Counter.ACCEPTED, labels=labels)
+    yield IncrementCounter(Metric.ACCEPTED, labels=labels)
     if request.state is RequestState.RECEIVED:
         yield from enqueue(world, request, now)
 
 
-def drop_callers(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def cancel_abandoned(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Forget requests whose callers have gone.
 
     Notes
@@ -197,19 +197,19 @@
     A request that may have started is not withdrawn if it has a key: its outcome
     is kept for the caller who comes back with the same key.
     """
-    for gone in inbox.of(CallerGone):
+    for gone in inbox.of(CallerDisconnected):
         request = world.requests.get(gone.request)
         if request is None or request.state is RequestState.ENDED:
             continue
         waiting = request.state is RequestState.QUEUED
-        if request.key is None or (waiting and request.id not in world.joined):
+        if request.key is None or (waiting and request.id not in world.duplicates):
             outcome: NotRun | Unknown = Unknown(UnknownReason.DEADLINE)
             if waiting and not request.started:
                 outcome = NotRun(NotRunReason.DEADLINE)
             yield from conclude(world, request, outcome, now)
 
 
-def rank_of(request: Request, now: float) -> int:
+def effective_rank(request: Request, now: float) -> int:
     """Return the order of service of a waiting request, 0 first.
 
     Notes
--- a/poplarrelay/systems/attempting.py
+++ b/poplarrelay/systems/attempting.py
@@ -5,7 +5,13 @@
 from collections.abc import Iterator
 
 from poplarrelay.messages.calls import AttemptEnded, AttemptProgressed, AttemptResult
-from poplarrelay.messages.effects import Count, Counter, Decided, Decision, Effect
+from poplarrelay.messages.effects import (
+    Decision,
+    Effect,
+    IncrementCounter,
+    LogDecision,
+    Metric,
+)
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.outcomes import (
     Answered,
@@ -16,7 +22,7 @@
     UnknownReason,
 )
 from poplarrelay.systems.concluding import conclude, release_endpoint, requeue
-from poplarrelay.systems.limits import take_retry
+from poplarrelay.systems.limits import spend_retry
 from poplarrelay.tables.claims import KeyState
 from poplarrelay.tables.endpoints import Endpoint, EndpointState
 from poplarrelay.tables.requests import Request, RequestState
@@ -139,15 +145,17 @@
     attempt = request.attempt
     endpoint = None if attempt is None else world.endpoints.get(attempt.endpoint)
     announced = endpoint is not None and endpoint.state is not EndpointState.LIVE
-    if not announced and not take_retry(world, request.team):
-        yield Decided(Decision.RETRY, (("request", request.id), ("refused", "budget")))
+    if not announced and not spend_retry(world, request.team):
+        yield LogDecision(
+            Decision.RETRY, (("request", request.id), ("refused", "budget"))
+        )
         yield from conclude(world, request, outcome_if_last, now)
         return
     release_endpoint(world, request, now)
-    key = world.keyed(request)
+    key = world.team_key(request)
     if key is not None and ended.result is AttemptResult.NOT_STARTED:
-        world.uses[key].state = KeyState.OPEN
-    yield Decided(
+        world.key_executions[key].state = KeyState.OPEN
+    yield LogDecision(
         Decision.RETRY,
         (
             ("request", request.id),
@@ -156,5 +164,5 @@
             ("announced", announced),
         ),
     )
-    yield Count(Counter.RETRIES, labels=(("result", ended.result.value),))
+    yield IncrementCounter(Metric.RETRIES, labels=(("result", ended.result.value),))
     requeue(world, request)
--- a/poplarrelay/systems/capacity.py
+++ b/poplarrelay/systems/capacity.py
@@ -18,15 +18,15 @@
 from poplarrelay.configuration.schema import CapacityPolicy, MachineOffer, Template
 from poplarrelay.identifiers import DomainId
 from poplarrelay.messages.effects import (
-    Decided,
     Decision,
     Effect,
-    ListStarted,
+    ListStartedHosts,
+    LogDecision,
     StartHost,
     StopHost,
 )
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.platform import StartedHost, StartedListed, StartRefused
+from poplarrelay.messages.platform import StartedHost, StartedHostsListed, StartRefused
 from poplarrelay.systems.leasing import remaining_term
 from poplarrelay.systems.limits import ready_nodes
 from poplarrelay.tables.capacity import Demand
@@ -34,7 +34,7 @@
 from poplarrelay.tables.leases import Duty
 from poplarrelay.tables.world import World
 
-__all__ = ["CapacityPlan", "plan_capacity", "steer_capacity", "wanted_hosts"]
+__all__ = ["CapacityPlan", "plan_capacity", "scale_hosts", "wanted_hosts"]
 
 #: Seconds between two decisions.
 INTERVAL_S = 2.0
@@ -223,7 +223,7 @@
                 yield entry.value, policy
 
 
-def steer_capacity(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def scale_hosts(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Start and stop hosts, if this node holds the placement duty."""
     for refusal in inbox.of(StartRefused):
         key = (refusal.domain, refusal.machine_class)
@@ -232,21 +232,21 @@
     left = remaining_term(world, Duty.PLACEMENT, now)
     if left <= 2 * timeout:
         return
-    latest = now + left - 2 * timeout
-    for listed in inbox.of(StartedListed):
+    expires_at = now + left - 2 * timeout
+    for listed in inbox.of(StartedHostsListed):
         for template, policy in _policies(world):
-            yield from _steer(world, template, policy, listed, latest, now)
+            yield from _steer(world, template, policy, listed, expires_at, now)
     if now >= world.next_capacity_at and any(_policies(world)):
         world.next_capacity_at = now + INTERVAL_S
-        yield ListStarted()
+        yield ListStartedHosts()
 
 
 def _steer(
     world: World,
     template: Template,
     policy: CapacityPolicy,
-    listed: StartedListed,
-    latest: float,
+    listed: StartedHostsListed,
+    expires_at: float,
     now: float,
 ) -> Iterator[Effect]:
     refused = frozenset(
@@ -261,13 +261,13 @@
         token = _free_token(policy.model, domain, offer.machine_class, taken)
         taken.add(token)
         yield _decided("start", token, demand)
-        yield StartHost(token, policy.model, offer.machine_class, domain, latest)
+        yield StartHost(token, policy.model, offer.machine_class, domain, expires_at)
     for host in plan.stops:
         yield _decided("stop", host.token, demand)
-        yield StopHost(host.token, STOP_GRACE_S, latest)
+        yield StopHost(host.token, STOP_GRACE_S, expires_at)
 
 
-def _staying(world: World, listed: StartedListed) -> list[StartedHost]:
+def _staying(world: World, listed: StartedHostsListed) -> list[StartedHost]:
     """Return the hosts that are not about to be reclaimed."""
     leaving = {
         e.id for e in world.endpoints.values() if e.state is EndpointState.LEAVING
@@ -289,6 +289,6 @@
     return token
 
 
-def _decided(what: str, token: str, demand: Demand) -> Decided:
+def _decided(what: str, token: str, demand: Demand) -> LogDecision:
     fields = (("host", what), ("token", token), ("demand", round(demand.total, 2)))
-    return Decided(Decision.PLACEMENT, fields)
+    return LogDecision(Decision.PLACEMENT, fields)
--- a/poplarrelay/systems/claiming.py
+++ b/poplarrelay/systems/claiming.py
@@ -19,26 +19,26 @@
 from collections.abc import Iterator
 
 from poplarrelay.exception import KeyReused
-from poplarrelay.messages.convert import load_outcome
 from poplarrelay.messages.effects import (
     AppendRecord,
-    AskKey,
-    AskPeers,
-    Decided,
     Decision,
     Effect,
+    LogDecision,
+    QueryAllPeers,
+    QueryKey,
 )
-from poplarrelay.messages.gossip import KeyQuestion, KeyReply
+from poplarrelay.messages.encoding import decode_outcome
+from poplarrelay.messages.gossip import KeyQuery, KeyReply
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.peers import KeyAnswered, PeersAnswered
+from poplarrelay.messages.peers import AllPeersAnswered, KeyAnswered
 from poplarrelay.messages.platform import LogFailed, RecordsRead
 from poplarrelay.messages.records import ClaimRecord, Record
 from poplarrelay.outcomes import NotRun, NotRunReason, Unknown, UnknownReason
 from poplarrelay.systems.concluding import conclude
-from poplarrelay.systems.homes import home_of, key_reply
-from poplarrelay.systems.keys import PlainKey, plain_key_time
+from poplarrelay.systems.key_ownership import key_reply, owner_of
+from poplarrelay.systems.keys import CallerKey, caller_key_time
 from poplarrelay.systems.limits import enqueue
-from poplarrelay.tables.claims import Claim, KeyState, KeyUse, TeamKey
+from poplarrelay.tables.claims import Claim, KeyExecution, KeyState, TeamKey
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import CLAIMS, World
@@ -47,7 +47,7 @@
     "fold_claims",
     "follow_claims",
     "follow_questions",
-    "settle_plain_key",
+    "resolve_caller_key",
 ]
 
 #: Seconds between two questions about a key that runs elsewhere.
@@ -92,7 +92,7 @@
     page); then a trimmed claim is one whose key has been forgotten anyway.
     """
     position = world.streams[CLAIMS]
-    yield Decided(
+    yield LogDecision(
         Decision.CLAIM,
         (("trimmed_from", position.next), ("trimmed_to", batch.oldest)),
     )
@@ -112,8 +112,8 @@
     world.claims[key] = Claim.from_record(record.offset, claim, now)
 
 
-def settle_plain_key(
-    world: World, request: Request, form: PlainKey, now: float
+def resolve_caller_key(
+    world: World, request: Request, form: CallerKey, now: float
 ) -> Iterator[Effect]:
     """Start to settle who may run a plain key that has no live use here.
 
@@ -134,7 +134,7 @@
         raise KeyReused("the key came before with other work")
     if claim.incarnation != world.incarnation:
         yield from _ask(world, request, claim, now)
-    elif key in world.uses:
+    elif key in world.key_executions:
         yield from claim_key(world, request, claim, now)
     else:
         yield from _expired(world, request, now)
@@ -145,13 +145,13 @@
     yield from conclude(world, request, outcome, now)
 
 
-def _too_old(world: World, form: PlainKey, now: float) -> bool:
+def _too_old(world: World, form: CallerKey, now: float) -> bool:
     """Return whether claims as old as the key may have been forgotten.
 
     The log's clock decides, since a host's clock may be set back and would make
     an old key look new.
     """
-    born = plain_key_time(form.key)
+    born = caller_key_time(form.key)
     if born is None or world.log_clock is None:
         return False
     return now + world.log_clock - born > world.settings.limits.key_memory_s
@@ -167,11 +167,11 @@
     claim : Claim or None
         The released claim to replace.
     """
-    key = world.keyed(request)
+    key = world.team_key(request)
     assert key is not None
     record = world.new_record_id()
     after = None if claim is None else claim.offset
-    world.uses[key] = KeyUse(
+    world.key_executions[key] = KeyExecution(
         KeyState.OPEN,
         request.id,
         request.work.fingerprint,
@@ -210,13 +210,13 @@
 
 
 def _follow_claim(world: World, request: Request, now: float) -> Iterator[Effect]:
-    key = world.keyed(request)
+    key = world.team_key(request)
     assert key is not None
-    use = world.uses[key]
+    execution = world.key_executions[key]
     claim = world.claims.get(key)
-    if claim is not None and claim.record == use.record:
-        yield from _claim_won(world, request, use, claim, now)
-    elif claim is not None and claim.offset != use.after:
+    if claim is not None and claim.record == execution.record:
+        yield from _claim_won(world, request, execution, claim, now)
+    elif claim is not None and claim.offset != execution.after:
         yield from _claim_lost(world, request, key, claim, now)
     elif now >= request.claim_until or not world.streams[CLAIMS].available:
         world.claiming.discard(request.id)
@@ -224,11 +224,11 @@
 
 
 def _claim_won(
-    world: World, request: Request, use: KeyUse, claim: Claim, now: float
+    world: World, request: Request, execution: KeyExecution, claim: Claim, now: float
 ) -> Iterator[Effect]:
     world.claiming.discard(request.id)
-    use.claim = claim.offset
-    yield Decided(
+    execution.claim = claim.offset
+    yield LogDecision(
         Decision.CLAIM,
         (("request", request.id), ("won", True), ("offset", claim.offset)),
     )
@@ -239,7 +239,7 @@
     world: World, request: Request, key: TeamKey, claim: Claim, now: float
 ) -> Iterator[Effect]:
     world.claiming.discard(request.id)
-    yield Decided(
+    yield LogDecision(
         Decision.CLAIM,
         (("request", request.id), ("won", False), ("winner", claim.node)),
     )
@@ -248,7 +248,7 @@
         # request had been given up. That claim is not used; a new one follows.
         yield from claim_key(world, request, claim, now)
         return
-    del world.uses[key]
+    del world.key_executions[key]
     if claim.fingerprint != request.work.fingerprint:
         outcome = Unknown(UnknownReason.KEY_EXPIRED)
         yield from conclude(world, request, outcome, now)
@@ -256,9 +256,9 @@
     yield from _ask(world, request, claim, now)
 
 
-def _question(request: Request, incarnation: str, claim: int | None) -> KeyQuestion:
+def _key_query(request: Request, incarnation: str, claim: int | None) -> KeyQuery:
     assert request.key is not None
-    return KeyQuestion(
+    return KeyQuery(
         team=request.team,
         key=request.key,
         fingerprint=request.work.fingerprint,
@@ -270,15 +270,15 @@
 def _ask(world: World, request: Request, claim: Claim, now: float) -> Iterator[Effect]:
     """Ask the process that answers for a claim, which may be this one."""
     request.state = RequestState.ASKING
-    question = _question(request, claim.incarnation, claim.offset)
-    if claim.incarnation in world.adopted:
-        yield from _take_answer(world, request, key_reply(world, question, now), now)
+    query = _key_query(request, claim.incarnation, claim.offset)
+    if claim.incarnation in world.inherited_incarnations:
+        yield from _take_answer(world, request, key_reply(world, query, now), now)
         return
-    home = home_of(world, claim.node, claim.incarnation)
-    if home is None:
+    owner = owner_of(world, claim.node, claim.incarnation)
+    if owner is None:
         yield from _unreachable(world, request, now)
     else:
-        yield AskKey(request.id, home.peers, question)
+        yield QueryKey(request.id, owner.peers, query)
 
 
 def _unreachable(world: World, request: Request, now: float) -> Iterator[Effect]:
@@ -307,7 +307,7 @@
         yield from _end_verified(world, request, now)
         return
     addresses = tuple(member.peers for member in peers)
-    yield AskPeers(request.id, addresses, _question(request, "", None))
+    yield QueryAllPeers(request.id, addresses, _key_query(request, "", None))
 
 
 def _vouched_for(member: Member) -> bool:
@@ -327,7 +327,7 @@
 
 def follow_questions(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Take the answers of peers, and ask again about keys that still run."""
-    for verified in inbox.of(PeersAnswered):
+    for verified in inbox.of(AllPeersAnswered):
         request = world.requests.get(verified.request)
         if request is not None and request.state is RequestState.VERIFYING:
             end = _end_verified if verified.absent else _end_unverified
@@ -345,7 +345,7 @@
 
 
 def _ask_again(world: World, request: Request, now: float) -> Iterator[Effect]:
-    key = world.keyed(request)
+    key = world.team_key(request)
     claim = None if key is None else world.claims.get(key)
     if claim is None:
         yield from _unreachable(world, request, now)
@@ -356,11 +356,11 @@
 def _take_answer(
     world: World, request: Request, reply: KeyReply | None, now: float
 ) -> Iterator[Effect]:
-    key = world.keyed(request)
+    key = world.team_key(request)
     if reply is None or key is None or reply.state in ("broken", "absent"):
         yield from _unreachable(world, request, now)
     elif reply.state == "finished" and reply.outcome is not None:
-        yield from conclude(world, request, load_outcome(reply.outcome), now)
+        yield from conclude(world, request, decode_outcome(reply.outcome), now)
     elif reply.state == "released":
         yield from _take_release(world, request, key, reply, now)
     elif reply.state == "mismatch":
--- a/poplarrelay/systems/concluding.py
+++ b/poplarrelay/systems/concluding.py
@@ -5,25 +5,25 @@
 from collections.abc import Iterator
 
 from poplarrelay.messages.effects import (
-    Conclude,
-    Count,
-    Counter,
-    Decided,
     Decision,
     Effect,
-    Observe,
+    EndRequest,
+    IncrementCounter,
+    LogDecision,
+    Metric,
+    ObserveValue,
 )
 from poplarrelay.outcomes import Answered, Continued, NotRun, Outcome
-from poplarrelay.tables.claims import KeyState, KeyUse
+from poplarrelay.tables.claims import KeyExecution, KeyState
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import World
 
 __all__ = [
     "conclude",
     "leave_queue",
-    "let_go",
     "outcome_tag",
     "release_endpoint",
+    "remove_request",
     "requeue",
 ]
 
@@ -50,7 +50,7 @@
     endpoint = world.endpoints.get(request.attempt.endpoint)
     if endpoint is not None:
         endpoint.note_ended(request.id, now)
-    world.team_use(request.team).running -= 1
+    world.team_usage(request.team).running -= 1
     request.attempt = None
 
 
@@ -58,52 +58,52 @@
     """Put a request that may run into the queue."""
     request.state = RequestState.QUEUED
     world.queue.append(request.id)
-    world.team_use(request.team).queued += 1
+    world.team_usage(request.team).queued += 1
 
 
 def leave_queue(world: World, request: Request) -> None:
     """Take a request out of the queue, if it waits there."""
     if request.id in world.queue:
         world.queue.remove(request.id)
-        world.team_use(request.team).queued -= 1
+        world.team_usage(request.team).queued -= 1
 
 
-def let_go(world: World, request: Request, now: float) -> None:
+def remove_request(world: World, request: Request, now: float) -> None:
     """Take a request that goes on at another node off this node's tables."""
     leave_queue(world, request)
     release_endpoint(world, request, now)
-    key = world.keyed(request)
-    use = None if key is None else world.uses.get(key)
-    if key is not None and use is not None and use.request == request.id:
-        settled = use.state in (KeyState.FINISHED, KeyState.BROKEN)
+    key = world.team_key(request)
+    execution = None if key is None else world.key_executions.get(key)
+    if key is not None and execution is not None and execution.request == request.id:
+        settled = execution.state in (KeyState.FINISHED, KeyState.BROKEN)
         if not settled:
-            del world.uses[key]
+            del world.key_executions[key]
     del world.requests[request.id]
 
 
-def _settle_key(use: KeyUse, outcome: Outcome, now: float) -> None:
+def _settle_key(execution: KeyExecution, outcome: Outcome, now: float) -> None:
     """Note what became of a key.
 
     A key under which nothing was sent is released whatever its caller was told:
     this process has not run it, so a later request may settle it anew.
     """
-    unsent = use.state is KeyState.OPEN
-    use.changed_at = now
-    use.outcome = outcome
+    unsent = execution.state is KeyState.OPEN
+    execution.changed_at = now
+    execution.outcome = outcome
     if isinstance(outcome, Answered):
-        use.state = KeyState.FINISHED
+        execution.state = KeyState.FINISHED
     elif unsent or isinstance(outcome, NotRun | Continued):
-        use.state = KeyState.RELEASED
+        execution.state = KeyState.RELEASED
     else:
-        use.state = KeyState.BROKEN
+        execution.state = KeyState.BROKEN
 
 
 def _record(request: Request, outcome: Outcome, now: float) -> Iterator[Effect]:
     tag = outcome_tag(outcome)
     request_class = request.request_class.value
     labels = (("class", request_class), ("outcome", tag), ("team", request.team))
-    yield Count(Counter.OUTCOMES, labels=labels)
-    yield Decided(
+    yield IncrementCounter(Metric.OUTCOMES, labels=labels)
+    yield LogDecision(
         Decision.END,
         (
             ("request", request.id),
@@ -116,10 +116,10 @@
     )
     if request.first_token_at is not None:
         elapsed = request.first_token_at - request.arrived
-        yield Observe(Counter.FIRST_TOKEN, elapsed, (("class", request_class),))
+        yield ObserveValue(Metric.FIRST_TOKEN, elapsed, (("class", request_class),))
     if isinstance(outcome, Answered) and outcome.usage.recomputed_tokens:
         recomputed = outcome.usage.recomputed_tokens
-        yield Count(Counter.RECOMPUTED, recomputed, (("cause", "resumed"),))
+        yield IncrementCounter(Metric.RECOMPUTED, recomputed, (("cause", "resumed"),))
 
 
 def conclude(
@@ -149,12 +149,12 @@
     request.ended_at = now
     yield from _record(request, outcome, now)
     fetched = _is_fetched(world, request, outcome)
-    yield Conclude(request.id, outcome, deferred=fetched)
-    key = world.keyed(request)
-    use = None if key is None or was_joined else world.uses.get(key)
-    if use is not None and use.request == request.id:
-        _settle_key(use, outcome, now)
-    for waiting in world.joined.pop(request.id, ()):
+    yield EndRequest(request.id, outcome, deferred=fetched)
+    key = world.team_key(request)
+    execution = None if key is None or was_joined else world.key_executions.get(key)
+    if execution is not None and execution.request == request.id:
+        _settle_key(execution, outcome, now)
+    for waiting in world.duplicates.pop(request.id, ()):
         follower = world.requests.get(waiting)
         if follower is not None:
             yield from conclude(world, follower, outcome, now)
--- a/poplarrelay/systems/configuring.py
+++ b/poplarrelay/systems/configuring.py
@@ -18,17 +18,17 @@
 from poplarrelay.exception import (
     ConfigurationConflict,
     ConfigurationUnconfirmed,
-    Fault,
+    FieldError,
     InvalidConfiguration,
     LogUnavailable,
 )
 from poplarrelay.identifiers import Incarnation, NodeId, Offset, RecordId, TeamId
 from poplarrelay.messages.effects import (
     AppendRecord,
-    Decided,
     Decision,
     Effect,
     FetchConfiguration,
+    LogDecision,
     Reply,
 )
 from poplarrelay.messages.inbox import Inbox
@@ -42,13 +42,13 @@
     SnapshotLease,
     SnapshotRecord,
 )
-from poplarrelay.settings import faults_of
+from poplarrelay.settings import field_errors
 from poplarrelay.systems.leasing import fold_lease
 from poplarrelay.tables.configuration import (
+    ChangeResult,
     ConfigurationTable,
     HistoryEntry,
     InForce,
-    Verdict,
 )
 from poplarrelay.tables.leases import Lease
 from poplarrelay.tables.members import MemberStatus
@@ -82,16 +82,16 @@
             own = deployment.team
             value = deployment
     except ValidationError as error:
-        raise InvalidConfiguration(faults_of(error)) from None
+        raise InvalidConfiguration(field_errors(error)) from None
     if own != name:
-        raise InvalidConfiguration((Fault(subject, f"the body names {own!r}"),))
+        raise InvalidConfiguration((FieldError(subject, f"the body names {own!r}"),))
     return value
 
 
 def _template(table: ConfigurationTable, name: str) -> Template:
     entry = table.entries.get(f"template/{name}")
     if entry is None or not isinstance(entry.value, Template):
-        fault = Fault("template", f"no template {name!r} is in force")
+        fault = FieldError("template", f"no template {name!r} is in force")
         raise InvalidConfiguration((fault,))
     return entry.value
 
@@ -108,7 +108,7 @@
     for digest in deployment.token_sha256:
         owner = table.team_of_token.get(digest)
         if owner is not None and owner != deployment.team:
-            fault = Fault("token_sha256", "a token belongs to another team")
+            fault = FieldError("token_sha256", "a token belongs to another team")
             raise InvalidConfiguration((fault,))
 
 
@@ -125,7 +125,7 @@
     kind, _, name = subject.partition("/")
     if body is None:
         if kind == "template" and _deployments_of(table, name):
-            fault = Fault(subject, "deployments still name this template")
+            fault = FieldError(subject, "deployments still name this template")
             raise InvalidConfiguration((fault,))
         return None
     value = _parse(subject, body)
@@ -154,7 +154,7 @@
 
 def fold_change(
     table: ConfigurationTable, offset: Offset, change: ChangeRecord
-) -> Verdict:
+) -> ChangeResult:
     """Fold one change; the same on every node.
 
     Parameters
@@ -175,14 +175,14 @@
     current = table.entries.get(change.subject)
     winner = None if current is None else current.offset
     if change.after != winner:
-        return Verdict(False, winner)
+        return ChangeResult(False, winner)
     try:
         value = _check_change(table, change.subject, change.body)
     except InvalidConfiguration as error:
-        return Verdict(False, winner, str(error))
+        return ChangeResult(False, winner, str(error))
     table.entries[change.subject] = InForce(offset, value)
     rebuild(table)
-    return Verdict(True, offset)
+    return ChangeResult(True, offset)
 
 
 def take_snapshot(world: World, record: RecordId) -> SnapshotRecord:
@@ -250,7 +250,7 @@
 
 
 def _settle(
-    world: World, record_id: str, verdict: Verdict, now: float
+    world: World, record_id: str, verdict: ChangeResult, now: float
 ) -> Iterator[Effect]:
     """Reply to an operator with the verdict on a change, or resend the change.
 
@@ -267,7 +267,7 @@
     if verdict.won:
         yield Reply(pending.call, verdict)
     elif verdict.problem:
-        fault = Fault(pending.subject, verdict.problem)
+        fault = FieldError(pending.subject, verdict.problem)
         yield Reply(pending.call, InvalidConfiguration((fault,)))
     elif pending.resendable and now < pending.until:
         yield from _send_change(world, pending)
@@ -289,7 +289,7 @@
     table = world.configuration
     verdict = fold_change(table, record.offset, change)
     table.history.append(HistoryEntry(record.offset, change.subject, verdict))
-    yield Decided(
+    yield LogDecision(
         Decision.CONFIGURATION,
         (
             ("subject", change.subject),
@@ -363,7 +363,7 @@
         ):
             world.collecting = []
             _adopt(world, message.snapshot, now)
-            yield Decided(
+            yield LogDecision(
                 Decision.CONFIGURATION,
                 (("from_peer", True), ("offset", covers)),
             )
--- a/poplarrelay/systems/dispatching.py
+++ b/poplarrelay/systems/dispatching.py
@@ -6,24 +6,24 @@
 
 from poplarrelay.identifiers import TeamId
 from poplarrelay.messages.effects import (
-    Count,
-    Counter,
-    Decided,
     Decision,
     Effect,
+    IncrementCounter,
+    LogDecision,
+    Metric,
     RunAttempt,
 )
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.outcomes import NotRun, NotRunReason
-from poplarrelay.systems.admitting import rank_of
+from poplarrelay.systems.admitting import effective_rank
 from poplarrelay.systems.concluding import conclude, leave_queue
-from poplarrelay.systems.limits import over_share, ready_nodes, running_limit
-from poplarrelay.systems.routing import Choice, Criteria, choose_endpoint
+from poplarrelay.systems.limits import exceeds_fair_share, ready_nodes, running_limit
+from poplarrelay.systems.routing import Criteria, EndpointChoice, choose_endpoint
 from poplarrelay.tables.claims import KeyState
 from poplarrelay.tables.requests import Attempt, Request, RequestState, WorkKind
 from poplarrelay.tables.world import World
 
-__all__ = ["book_attempt", "criteria_for", "dispatch_queue"]
+__all__ = ["create_attempt", "criteria_for", "dispatch_queue"]
 
 #: Prefixes that are remembered for one endpoint.
 MAX_PREFIXES = 512
@@ -43,15 +43,15 @@
         avoided,
         frozenset(request.tried),
         now,
-        over_share(world, request.team),
+        exceeds_fair_share(world, request.team),
         ready_nodes(world),
         world.settings.limits.routing_policy,
         world.sent,
     )
 
 
-def book_attempt(
-    world: World, request: Request, choice: Choice, recomputed: int, now: float
+def create_attempt(
+    world: World, request: Request, choice: EndpointChoice, recomputed: int, now: float
 ) -> Attempt:
     """Make an attempt and put it on the endpoint's books."""
     endpoint = choice.endpoint
@@ -84,8 +84,8 @@
 
 
 def _order(world: World, request: Request, now: float) -> tuple[int, float, float]:
-    served = world.team_use(request.team).served
-    return rank_of(request, now), served, request.arrived
+    served = world.team_usage(request.team).served
+    return effective_rank(request, now), served, request.arrived
 
 
 def _recomputed(request: Request) -> int:
@@ -113,10 +113,10 @@
     endpoints = list(world.endpoints.values())
     deferred = _deferred_running(world)
     for request in sorted(waiting, key=lambda r: _order(world, r, now)):
-        group = (request.team, request.work.name, rank_of(request, now))
+        group = (request.team, request.work.name, effective_rank(request, now))
         if group in blocked:
             continue
-        if world.team_use(request.team).running >= running_limit(world, request.team):
+        if world.team_usage(request.team).running >= running_limit(world, request.team):
             blocked.add(group)
             continue
         if request.deferred and deferred >= world.settings.limits.deferred_threads:
@@ -173,24 +173,26 @@
 def _charge(world: World, request: Request) -> None:
     policy = world.configuration.policies.get(request.team)
     priority = 1 if policy is None else policy.priority
-    use = world.team_use(request.team)
-    use.served += (request.work.prompt_tokens + request.work.max_tokens + 1) / priority
+    usage = world.team_usage(request.team)
+    usage.served += (
+        request.work.prompt_tokens + request.work.max_tokens + 1
+    ) / priority
 
 
 def _dispatch(
-    world: World, request: Request, choice: Choice, now: float
+    world: World, request: Request, choice: EndpointChoice, now: float
 ) -> Iterator[Effect]:
     leave_queue(world, request)
-    world.team_use(request.team).running += 1
+    world.team_usage(request.team).running += 1
     _charge(world, request)
-    attempt = book_attempt(world, request, choice, _recomputed(request), now)
+    attempt = create_attempt(world, request, choice, _recomputed(request), now)
     request.state = RequestState.DISPATCHED
-    key = world.keyed(request)
+    key = world.team_key(request)
     if key is not None:
         # From here on an attempt may have been sent: the key is never released
         # unless the attempt reports that no byte reached the endpoint.
-        world.uses[key].state = KeyState.RUNNING
-    yield Decided(
+        world.key_executions[key].state = KeyState.RUNNING
+    yield LogDecision(
         Decision.ROUTE,
         (
             ("request", request.id),
@@ -206,12 +208,12 @@
             ("resume_from", attempt.resume_from),
         ),
     )
-    yield Count(Counter.ATTEMPTS, labels=(("team", request.team),))
+    yield IncrementCounter(Metric.ATTEMPTS, labels=(("team", request.team),))
     yield RunAttempt(
         attempt,
         request.work,
         request.team,
-        2 * request.request_class.rank + over_share(world, request.team),
+        2 * request.request_class.rank + exceeds_fair_share(world, request.team),
         request.deferred,
         key is not None,
     )
--- a/poplarrelay/systems/draining.py
+++ b/poplarrelay/systems/draining.py
@@ -15,36 +15,36 @@
 from collections.abc import Iterator
 
 from poplarrelay.identifiers import Incarnation, NodeId, Offset, RequestId
-from poplarrelay.messages.convert import (
-    load_outcome,
-    load_request,
-    store_outcome,
-    store_request,
-)
 from poplarrelay.messages.effects import (
-    Decided,
     Decision,
     Effect,
-    HandOver,
+    LogDecision,
     Reply,
-    SendNews,
+    SendGossip,
+    SendHandover,
     StopProcess,
 )
+from poplarrelay.messages.encoding import (
+    decode_outcome,
+    decode_request,
+    encode_outcome,
+    encode_request,
+)
 from poplarrelay.messages.gossip import (
     HandoverMessage,
     HandoverReply,
+    KeyMessage,
     ProbeMessage,
-    StoredKey,
-    StoredRequest,
+    RequestMessage,
 )
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.peers import HandoverAnswered, HandoverReceived
 from poplarrelay.messages.questions import ShutdownAsked
 from poplarrelay.outcomes import Continued, Outcome, Unknown, UnknownReason
-from poplarrelay.systems.concluding import conclude, let_go, requeue
-from poplarrelay.systems.copying import settled_copy
+from poplarrelay.systems.concluding import conclude, remove_request, requeue
 from poplarrelay.systems.gossiping import own_row, raise_version
-from poplarrelay.tables.claims import KeyState, KeyUse, TeamKey
+from poplarrelay.systems.request_copies import accepted_copy
+from poplarrelay.tables.claims import KeyExecution, KeyState, TeamKey
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.requests import Request, RequestState, WorkKind
 from poplarrelay.tables.world import HandoverState, NodePhase, World
@@ -89,13 +89,13 @@
     if world.phase in (NodePhase.DRAINING, NodePhase.STOPPED):
         if world.drain_until == until:
             step = (("step", "hurrying"), ("within_s", within_s))
-            yield Decided(Decision.DRAIN, step)
+            yield LogDecision(Decision.DRAIN, step)
         return
     world.phase = NodePhase.DRAINING
     world.me.status = MemberStatus.LEAVING
     world.me.ready = False
     raise_version(world)
-    yield Decided(Decision.DRAIN, (("step", "leaving"), ("within_s", within_s)))
+    yield LogDecision(Decision.DRAIN, (("step", "leaving"), ("within_s", within_s)))
     yield from _tell(world, now)
 
 
@@ -106,7 +106,7 @@
         if m.status in (MemberStatus.ALIVE, MemberStatus.LEAVING)
     )
     if peers:
-        yield SendNews(peers, ProbeMessage(sender=own_row(world, now)))
+        yield SendGossip(peers, ProbeMessage(sender=own_row(world, now)))
 
 
 def _waits(request: Request) -> bool:
@@ -150,7 +150,7 @@
         requests=stored,
     )
     world.handover = HandoverState(successor.node, successor.peers, message, now)
-    yield Decided(
+    yield LogDecision(
         Decision.HANDOVER,
         (
             ("to", successor.node),
@@ -161,16 +161,18 @@
     yield from _send_handover(world, now)
 
 
-def _take_along(world: World, now: float) -> tuple[StoredRequest, ...]:
+def _take_along(world: World, now: float) -> tuple[RequestMessage, ...]:
     handed = [r for r in world.requests.values() if _goes_along(r)]
-    stored = tuple(store_request(request, now) for request in handed)
+    stored = tuple(encode_request(request, now) for request in handed)
     for request in handed:
-        let_go(world, request, now)
+        remove_request(world, request, now)
     return stored
 
 
 def _has_memory(world: World) -> bool:
-    return bool(world.uses) or any(r.deferred for r in world.requests.values())
+    return bool(world.key_executions) or any(
+        r.deferred for r in world.requests.values()
+    )
 
 
 def _goes_along(request: Request) -> bool:
@@ -197,21 +199,23 @@
         yield from conclude(world, request, outcome, now)
 
 
-def _stored_keys(world: World, now: float) -> Iterator[StoredKey]:
+def _stored_keys(world: World, now: float) -> Iterator[KeyMessage]:
     states = {
         KeyState.FINISHED: "finished",
         KeyState.RELEASED: "released",
         KeyState.BROKEN: "broken",
     }
-    for key, use in world.uses.items():
-        yield StoredKey(
+    for key, execution in world.key_executions.items():
+        yield KeyMessage(
             team=key.team,
             key=key.key,
-            state=states.get(use.state, "broken"),  # type: ignore[arg-type]
-            fingerprint=use.fingerprint,
-            claim=use.claim,
-            outcome=None if use.outcome is None else store_outcome(use.outcome),
-            age_s=now - use.changed_at,
+            state=states.get(execution.state, "broken"),  # type: ignore[arg-type]
+            fingerprint=execution.fingerprint,
+            claim=execution.claim,
+            outcome=None
+            if execution.outcome is None
+            else encode_outcome(execution.outcome),
+            age_s=now - execution.changed_at,
         )
 
 
@@ -219,7 +223,7 @@
     state = world.handover
     assert state is not None
     state.next_send_at = now + RESEND_S
-    yield HandOver(state.successor, state.peer, state.message)
+    yield SendHandover(state.successor, state.peer, state.message)
 
 
 def _follow_acknowledgement(world: World, inbox: Inbox) -> Iterator[Effect]:
@@ -229,7 +233,7 @@
             continue
         if answered.reply is not None and answered.reply.taken:
             state.acknowledged = True
-            yield Decided(Decision.HANDOVER, (("acknowledged_by", answered.node),))
+            yield LogDecision(Decision.HANDOVER, (("acknowledged_by", answered.node),))
 
 
 def _done(world: World) -> bool:
@@ -244,7 +248,7 @@
     world.phase = NodePhase.STOPPED
     world.me.status = MemberStatus.LEFT
     raise_version(world)
-    yield Decided(Decision.DRAIN, (("step", "left"), ("clean", clean)))
+    yield LogDecision(Decision.DRAIN, (("step", "left"), ("clean", clean)))
     yield from _tell(world, now)
     yield StopProcess(clean)
 
@@ -261,7 +265,7 @@
     for received in inbox.of(HandoverReceived):
         handover = received.handover
         incarnation = Incarnation(handover.incarnation)
-        if incarnation not in world.adopted:
+        if incarnation not in world.inherited_incarnations:
             if world.phase is not NodePhase.SERVING:
                 yield Reply(received.call, HandoverReply(taken=False))
                 continue
@@ -272,26 +276,26 @@
 def _adopt(
     world: World, handover: HandoverMessage, incarnation: Incarnation, now: float
 ) -> Iterator[Effect]:
-    world.adopted[incarnation] = now
+    world.inherited_incarnations[incarnation] = now
     for stored in handover.keys:
         key = TeamKey.of(stored.team, stored.key)
-        held = world.uses.get(key)
+        held = world.key_executions.get(key)
         if held is not None and held.state is not KeyState.RELEASED:
             continue
-        world.uses[key] = _key_use(stored, now)
+        world.key_executions[key] = _key_execution(stored, now)
     for row in handover.requests:
-        request = load_request(row, now)
+        request = decode_request(row, now)
         if request.id in world.requests:
             continue
         world.requests[request.id] = request
         if request.deferred:
-            world.sent_copies[request.id] = settled_copy(request)
+            world.sent_copies[request.id] = accepted_copy(request)
         if request.outcome is not None:
             request.state = RequestState.ENDED
             request.ended_at = now
         else:
             _resume(world, request, now)
-    yield Decided(
+    yield LogDecision(
         Decision.HANDOVER,
         (
             ("from", NodeId(handover.node)),
@@ -303,20 +307,20 @@
 
 def _resume(world: World, request: Request, now: float) -> None:
     """Queue a request that was handed over, with the right to run its key."""
-    key = world.keyed(request)
+    key = world.team_key(request)
     if key is not None:
-        world.uses[key] = KeyUse(
+        world.key_executions[key] = KeyExecution(
             KeyState.OPEN, request.id, request.work.fingerprint, changed_at=now
         )
     requeue(world, request)
 
 
-def _key_use(stored: StoredKey, now: float) -> KeyUse:
-    return KeyUse(
+def _key_execution(stored: KeyMessage, now: float) -> KeyExecution:
+    return KeyExecution(
         state=KeyState(stored.state),
         request=RequestId(""),
         fingerprint=stored.fingerprint,
         changed_at=now - stored.age_s,
         claim=None if stored.claim is None else Offset(stored.claim),
-        outcome=None if stored.outcome is None else load_outcome(stored.outcome),
+        outcome=None if stored.outcome is None else decode_outcome(stored.outcome),
     )
--- a/poplarrelay/systems/watching.py
+++ b/poplarrelay/systems/endpoint_monitoring.py
@@ -8,12 +8,12 @@
 
 from poplarrelay.identifiers import EndpointId
 from poplarrelay.messages.effects import (
-    Decided,
     Decision,
     Effect,
     ListHosts,
+    LogDecision,
     PollLoad,
-    SendNews,
+    SendGossip,
 )
 from poplarrelay.messages.gossip import NoticeRow, ProbeMessage
 from poplarrelay.messages.inbox import Inbox
@@ -22,7 +22,7 @@
     HostsListed,
     LoadFailed,
     LoadReported,
-    NoticeHeard,
+    NoticeReceived,
     NoticeSource,
 )
 from poplarrelay.systems.gossiping import current_notices, own_row
@@ -30,7 +30,7 @@
 from poplarrelay.tables.members import MemberStatus
 from poplarrelay.tables.world import World
 
-__all__ = ["hear_notices", "poll_endpoints", "watch_hosts"]
+__all__ = ["poll_endpoints", "receive_notices", "watch_hosts"]
 
 #: Seconds for which a failure domain is avoided after a notice in it.
 DOMAIN_AVOIDED_S = 60.0
@@ -91,14 +91,14 @@
         yield ListHosts()
 
 
-def _changed(endpoint: Endpoint, why: str) -> Decided:
+def _changed(endpoint: Endpoint, why: str) -> LogDecision:
     fields = (
         ("endpoint", endpoint.id),
         ("domain", endpoint.domain),
         ("state", endpoint.state.value),
         ("why", why),
     )
-    return Decided(Decision.ENDPOINT, fields)
+    return LogDecision(Decision.ENDPOINT, fields)
 
 
 def _list_endpoint(world: World, row: HostRow, now: float) -> Iterator[Effect]:
@@ -165,14 +165,14 @@
     yield _changed(endpoint, f"notice from {source.value}")
 
 
-def _affected(world: World, notice: NoticeHeard) -> list[Endpoint]:
+def _affected(world: World, notice: NoticeReceived) -> list[Endpoint]:
     if notice.endpoint is not None:
         endpoint = world.endpoints.get(notice.endpoint)
         return [] if endpoint is None else [endpoint]
     return [e for e in world.endpoints.values() if e.domain == notice.domain]
 
 
-def hear_notices(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def receive_notices(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Mark leaving endpoints, and pass a first notice on at once.
 
     Notes
@@ -183,7 +183,7 @@
     of probes carry it to those that were cut off.
     """
     fresh = False
-    for notice in inbox.of(NoticeHeard):
+    for notice in inbox.of(NoticeReceived):
         for endpoint in _affected(world, notice):
             was_live = endpoint.state is EndpointState.LIVE
             yield from _mark_leaving(
@@ -201,7 +201,7 @@
     if chosen:
         notices: tuple[NoticeRow, ...] = current_notices(world, now)
         message = ProbeMessage(sender=own_row(world, now), notices=notices)
-        yield SendNews(tuple(chosen), message)
+        yield SendGossip(tuple(chosen), message)
 
 
 def poll_endpoints(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
--- a/poplarrelay/systems/expiring.py
+++ b/poplarrelay/systems/expiring.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from poplarrelay.messages.effects import Count, Counter, Effect
+from poplarrelay.messages.effects import Effect, IncrementCounter, Metric
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.outcomes import (
     Answered,
@@ -51,7 +51,9 @@
             limit += ATTEMPT_GRACE_S
         if now < limit or request.state is RequestState.ENDED:
             continue
-        yield Count(Counter.LATE, labels=(("class", request.request_class.value),))
+        yield IncrementCounter(
+            Metric.LATE, labels=(("class", request.request_class.value),)
+        )
         yield from conclude(world, request, _late_outcome(request), now)
 
 
@@ -66,18 +68,18 @@
     ) * world.settings.timing.ticket_epoch_s
     kept = max(memory, tickets)
     settled = (KeyState.FINISHED, KeyState.BROKEN, KeyState.RELEASED)
-    for key, use in list(world.uses.items()):
-        if use.state in settled and now - use.changed_at > kept:
-            del world.uses[key]
+    for key, execution in list(world.key_executions.items()):
+        if execution.state in settled and now - execution.changed_at > kept:
+            del world.key_executions[key]
     for key, claim in list(world.claims.items()):
-        if now - claim.read_at > kept and key not in world.uses:
+        if now - claim.read_at > kept and key not in world.key_executions:
             del world.claims[key]
     for request in list(world.requests.values()):
         if request.ended_at is not None and now - request.ended_at > memory:
             del world.requests[request.id]
-    for incarnation, at in list(world.adopted.items()):
+    for incarnation, at in list(world.inherited_incarnations.items()):
         if now - at > kept:
-            del world.adopted[incarnation]
+            del world.inherited_incarnations[incarnation]
     _measure_kept(world)
     yield from ()
 
@@ -92,7 +94,7 @@
 def _measure_kept(world: World) -> None:
     """Note how much is kept for callers that may come back."""
     deferred = [r for r in world.requests.values() if r.ended_at is not None]
-    outcomes = [use.outcome for use in world.uses.values()]
+    outcomes = [execution.outcome for execution in world.key_executions.values()]
     outcomes += [request.outcome for request in deferred]
     world.kept_answers = len(outcomes)
     world.kept_bytes = sum(_size(outcome) for outcome in outcomes)
--- a/poplarrelay/systems/gossiping.py
+++ b/poplarrelay/systems/gossiping.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from poplarrelay.identifiers import NodeId
-from poplarrelay.messages.convert import load_member, store_member
+from poplarrelay.messages.encoding import decode_member, encode_member
 from poplarrelay.messages.gossip import MemberRow, NoticeRow
 from poplarrelay.tables.endpoints import EndpointState
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.world import CONFIGURATION, World
 
-__all__ = ["current_notices", "merge_row", "news_rows", "own_row", "raise_version"]
+__all__ = ["current_notices", "gossip_rows", "merge_row", "own_row", "raise_version"]
 
 #: Rows that one message carries.
 MAX_ROWS = 8
@@ -23,7 +23,7 @@
     me.epoch = world.epoch(now)
     me.clock = now - world.started_at
     me.configuration_next = world.streams[CONFIGURATION].next
-    return store_member(me)
+    return encode_member(me)
 
 
 def raise_version(world: World) -> None:
@@ -40,7 +40,7 @@
     )
 
 
-def news_rows(world: World, full: bool) -> tuple[MemberRow, ...]:
+def gossip_rows(world: World, full: bool) -> tuple[MemberRow, ...]:
     """Return the member rows to pass on, those told least often first.
 
     Notes
@@ -56,7 +56,7 @@
         members = members[:MAX_ROWS]
     for member in members:
         member.told += 1
-    return tuple(store_member(member) for member in members)
+    return tuple(encode_member(member) for member in members)
 
 
 def _newer(row: Member, known: Member) -> bool:
@@ -83,7 +83,7 @@
     if row.node == world.node:
         _hear_of_self(world, row)
         return None
-    member = load_member(row, now)
+    member = decode_member(row, now)
     known = world.members.get(NodeId(row.node))
     if known is not None and not _newer(member, known):
         if member.incarnation == known.incarnation:
@@ -94,7 +94,7 @@
             )
         return None
     if known is not None and member.incarnation == known.incarnation:
-        member.heard_at = known.heard_at
+        member.last_seen_at = known.last_seen_at
         if member.status is known.status:
             member.changed_at = known.changed_at
     world.members[member.node] = member
@@ -113,6 +113,6 @@
     doubted = said in (MemberStatus.SUSPECT, MemberStatus.DEAD)
     if said is MemberStatus.DEAD:
         for copy in world.sent_copies.values():
-            copy.doubtful = True
+            copy.maybe_taken_over = True
     if row.version >= me.version and (doubted or row.version > me.version):
         me.version = row.version + 1
--- a/poplarrelay/systems/homes.py
+++ b/poplarrelay/systems/key_ownership.py
@@ -5,19 +5,19 @@
 from collections.abc import Iterator
 
 from poplarrelay.identifiers import Incarnation, NodeId
-from poplarrelay.messages.convert import store_outcome
 from poplarrelay.messages.effects import Effect, Reply
-from poplarrelay.messages.gossip import KeyQuestion, KeyReply
+from poplarrelay.messages.encoding import encode_outcome
+from poplarrelay.messages.gossip import KeyQuery, KeyReply
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.peers import KeyAsked
-from poplarrelay.tables.claims import KeyState, KeyUse, TeamKey
+from poplarrelay.messages.peers import KeyQueried
+from poplarrelay.tables.claims import KeyExecution, KeyState, TeamKey
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.world import CLAIMS, World
 
-__all__ = ["answer_key_questions", "home_of", "key_reply"]
+__all__ = ["answer_key_queries", "key_reply", "owner_of"]
 
 
-def home_of(world: World, node: NodeId, incarnation: Incarnation) -> Member | None:
+def owner_of(world: World, node: NodeId, incarnation: Incarnation) -> Member | None:
     """Return the member that answers for an incarnation, None if there is none.
 
     Notes
@@ -36,45 +36,52 @@
     return world.members.get(member.successor)
 
 
-def answer_key_questions(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def answer_key_queries(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Tell peers what became of keys."""
-    for asked in inbox.of(KeyAsked):
-        yield Reply(asked.call, key_reply(world, asked.question, now))
+    for asked in inbox.of(KeyQueried):
+        yield Reply(asked.call, key_reply(world, asked.query, now))
 
 
-def key_reply(world: World, question: KeyQuestion, now: float) -> KeyReply:
+def key_reply(world: World, query: KeyQuery, now: float) -> KeyReply:
     """Return what became of a key, as far as this process answers for it."""
-    key = TeamKey.of(question.team, question.key)
-    use = world.uses.get(key)
-    if not question.incarnation:
-        in_use = use is not None and use.state is not KeyState.RELEASED
+    key = TeamKey.of(query.team, query.key)
+    execution = world.key_executions.get(key)
+    if not query.incarnation:
+        in_use = execution is not None and execution.state is not KeyState.RELEASED
         unsure = not world.streams[CLAIMS].caught_up
         known = in_use or unsure or key in world.claims
         return KeyReply(state="running" if known else "absent")
-    answers_for = Incarnation(question.incarnation)
-    if answers_for != world.incarnation and answers_for not in world.adopted:
+    answers_for = Incarnation(query.incarnation)
+    if (
+        answers_for != world.incarnation
+        and answers_for not in world.inherited_incarnations
+    ):
         return KeyReply(state="absent")
-    if use is None:
+    if execution is None:
         return KeyReply(state="absent")
-    if use.fingerprint != question.fingerprint:
+    if execution.fingerprint != query.fingerprint:
         return KeyReply(state="mismatch")
-    return _reply_by_state(world, key, use, question, now)
+    return _reply_by_state(world, key, execution, query, now)
 
 
 def _reply_by_state(
-    world: World, key: TeamKey, use: KeyUse, question: KeyQuestion, now: float
+    world: World, key: TeamKey, execution: KeyExecution, query: KeyQuery, now: float
 ) -> KeyReply:
-    if use.state is KeyState.FINISHED and use.outcome is not None:
-        return KeyReply(state="finished", outcome=store_outcome(use.outcome))
-    if use.state is KeyState.BROKEN:
+    if execution.state is KeyState.FINISHED and execution.outcome is not None:
+        return KeyReply(state="finished", outcome=encode_outcome(execution.outcome))
+    if execution.state is KeyState.BROKEN:
         return KeyReply(state="broken")
-    if use.state is KeyState.RELEASED or _gave_up(world, key, use, question):
-        ago = now - use.changed_at if use.state is KeyState.RELEASED else 0.0
+    if execution.state is KeyState.RELEASED or _gave_up(world, key, execution, query):
+        ago = (
+            now - execution.changed_at if execution.state is KeyState.RELEASED else 0.0
+        )
         return KeyReply(state="released", released_ago_s=ago)
     return KeyReply(state="running")
 
 
-def _gave_up(world: World, key: TeamKey, use: KeyUse, question: KeyQuestion) -> bool:
+def _gave_up(
+    world: World, key: TeamKey, execution: KeyExecution, query: KeyQuery
+) -> bool:
     """Return whether a key in use here is being claimed anew.
 
     Notes
@@ -83,7 +90,7 @@
     that claim, it gave that claim up before, so both race for the next one in the
     log, and the log's order decides.
     """
-    if use.claim is not None or question.claim is None:
+    if execution.claim is not None or query.claim is None:
         return False
     claim = world.claims.get(key)
-    return claim is not None and claim.record != use.record
+    return claim is not None and claim.record != execution.record
--- a/poplarrelay/systems/keying.py
+++ b/poplarrelay/systems/key_resolution.py
@@ -7,22 +7,22 @@
 from poplarrelay.exception import KeyReused
 from poplarrelay.messages.effects import Effect
 from poplarrelay.outcomes import NotRun, NotRunReason, Unknown, UnknownReason
-from poplarrelay.systems.claiming import settle_plain_key
+from poplarrelay.systems.claiming import resolve_caller_key
 from poplarrelay.systems.concluding import conclude
-from poplarrelay.systems.keys import PlainKey, Ticket, read_key
-from poplarrelay.systems.limits import memory_full
-from poplarrelay.systems.ticketing import settle_ticket
-from poplarrelay.tables.claims import KeyState, KeyUse, TeamKey
+from poplarrelay.systems.keys import CallerKey, Ticket, read_key
+from poplarrelay.systems.limits import answer_store_full
+from poplarrelay.systems.ticketing import resolve_ticket
+from poplarrelay.tables.claims import KeyExecution, KeyState, TeamKey
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import World
 
-__all__ = ["settle_arrival"]
+__all__ = ["resolve_key"]
 
 #: Seconds until a caller may ask again at another node.
 ELSEWHERE_RETRY_S = 0.2
 
 
-def settle_arrival(
+def resolve_key(
     world: World, request: Request, forwarded: bool, now: float
 ) -> Iterator[Effect]:
     """Decide who may run a request.
@@ -40,7 +40,7 @@
 
     Raises
     ------
-    KeyMalformed
+    MalformedKey
         If the key has an unknown form.
     KeyReused
         If the key came before with other work.
@@ -53,28 +53,28 @@
             reasons = NotRunReason.NODE_LEAVING, UnknownReason.NODE_LEAVING
             yield from _leave_alone(world, request, form, reasons, now)
             return
-        if memory_full(world):
+        if answer_store_full(world):
             reasons = NotRunReason.QUEUE_FULL, UnknownReason.QUEUE_FULL
             yield from _leave_alone(world, request, form, reasons, now)
             return
-    use = world.uses.get(TeamKey(request.team, request.key))
-    if use is not None and use.state is not KeyState.RELEASED:
-        yield from _repeat(world, request, use, now)
+    execution = world.key_executions.get(TeamKey(request.team, request.key))
+    if execution is not None and execution.state is not KeyState.RELEASED:
+        yield from _repeat(world, request, execution, now)
     elif isinstance(form, Ticket):
-        yield from settle_ticket(world, request, form, forwarded, now)
+        yield from resolve_ticket(world, request, form, forwarded, now)
     else:
-        yield from settle_plain_key(world, request, form, now)
+        yield from resolve_caller_key(world, request, form, now)
 
 
 def _known(world: World, request: Request) -> bool:
-    key = world.keyed(request)
-    return key is not None and key in world.uses
+    key = world.team_key(request)
+    return key is not None and key in world.key_executions
 
 
 def _leave_alone(
     world: World,
     request: Request,
-    form: PlainKey | Ticket,
+    form: CallerKey | Ticket,
     reasons: tuple[NotRunReason, UnknownReason],
     now: float,
 ) -> Iterator[Effect]:
@@ -93,15 +93,15 @@
 
 
 def _repeat(
-    world: World, request: Request, use: KeyUse, now: float
+    world: World, request: Request, execution: KeyExecution, now: float
 ) -> Iterator[Effect]:
-    if use.fingerprint != request.work.fingerprint:
+    if execution.fingerprint != request.work.fingerprint:
         raise KeyReused("the key came before with other work")
-    if use.state is KeyState.BROKEN:
+    if execution.state is KeyState.BROKEN:
         outcome = Unknown(UnknownReason.ATTEMPT_BROKEN)
         yield from conclude(world, request, outcome, now)
-    elif use.state is KeyState.FINISHED and use.outcome is not None:
-        yield from conclude(world, request, use.outcome, now)
+    elif execution.state is KeyState.FINISHED and execution.outcome is not None:
+        yield from conclude(world, request, execution.outcome, now)
     else:
         request.state = RequestState.JOINED
-        world.joined.setdefault(use.request, []).append(request.id)
+        world.duplicates.setdefault(execution.request, []).append(request.id)
--- a/poplarrelay/systems/keys.py
+++ b/poplarrelay/systems/keys.py
@@ -15,13 +15,13 @@
 from dataclasses import dataclass
 from uuid import UUID
 
-from poplarrelay.exception import KeyMalformed
+from poplarrelay.exception import MalformedKey
 from poplarrelay.identifiers import IdempotencyKey, Incarnation, NodeId
 
 __all__ = [
-    "PlainKey",
+    "CallerKey",
     "Ticket",
-    "plain_key_time",
+    "caller_key_time",
     "read_key",
     "ticket_prefix",
 ]
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlainKey:
+class CallerKey:
     """A key that the caller chose."""
 
     key: IdempotencyKey
@@ -61,28 +61,28 @@
     epoch: int
 
 
-def read_key(key: IdempotencyKey) -> PlainKey | Ticket:
+def read_key(key: IdempotencyKey) -> CallerKey | Ticket:
     """Return the typed form of an ``Idempotency-Key``.
 
     Raises
     ------
-    KeyMalformed
+    MalformedKey
         If it is neither a ticket nor 1 to 200 visible ASCII characters.
 
     Examples
     --------
     >>> read_key(IdempotencyKey("seat-17"))
-    PlainKey(key='seat-17')
+    CallerKey(key='seat-17')
     >>> read_key(IdempotencyKey("t1.n1.0123abcd.4.x")).epoch
     4
     """
     if not _PLAIN.match(key):
-        raise KeyMalformed("1 to 200 visible ASCII characters are taken")
+        raise MalformedKey("1 to 200 visible ASCII characters are taken")
     if not key.startswith(TICKET_MARK):
-        return PlainKey(key)
+        return CallerKey(key)
     match = _TICKET.match(key)
     if match is None:
-        raise KeyMalformed("this is not a whole ticket")
+        raise MalformedKey("this is not a whole ticket")
     return Ticket(
         key,
         NodeId(match["node"]),
@@ -96,7 +96,7 @@
     return f"{TICKET_MARK}{node}.{incarnation}.{epoch}"
 
 
-def plain_key_time(key: IdempotencyKey) -> float | None:
+def caller_key_time(key: IdempotencyKey) -> float | None:
     """Return the time of day within a key of UUID version 7, in seconds.
 
     None for a key of any other form, whose age cannot be told.
--- a/poplarrelay/systems/leasing.py
+++ b/poplarrelay/systems/leasing.py
@@ -20,10 +20,10 @@
 from collections.abc import Iterator
 
 from poplarrelay.identifiers import Incarnation, NodeId, Offset, RecordId
-from poplarrelay.messages.effects import AppendRecord, Decided, Decision, Effect
+from poplarrelay.messages.effects import AppendRecord, Decision, Effect, LogDecision
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.records import LeaseRecord, Record
-from poplarrelay.tables.leases import Duty, Lease, LeaseBid
+from poplarrelay.tables.leases import Duty, Lease, LeaseRequest
 from poplarrelay.tables.world import CONFIGURATION, NodePhase, World
 
 __all__ = ["fencing_number", "fold_lease", "keep_leases", "remaining_term"]
@@ -51,7 +51,7 @@
         read_at=now,
     )
     if current is None or current.incarnation != value.incarnation:
-        yield Decided(
+        yield LogDecision(
             Decision.LEASE,
             (
                 ("duty", value.duty),
@@ -73,10 +73,10 @@
     lease = world.leases.get(duty.value)
     if lease is None or lease.incarnation != world.incarnation:
         return 0.0
-    bid = world.bids.get(lease.record)
-    if bid is None:
+    lease_request = world.lease_requests.get(lease.record)
+    if lease_request is None:
         return 0.0
-    return max(0.0, bid.counted_from + bid.term_s - now)
+    return max(0.0, lease_request.counted_from + lease_request.term_s - now)
 
 
 def fencing_number(world: World, duty: Duty) -> Offset | None:
@@ -130,7 +130,7 @@
 def _bid(world: World, duty: Duty, term_s: float, now: float) -> Iterator[Effect]:
     record = world.new_record_id()
     current = world.leases.get(duty.value)
-    world.bids[record] = LeaseBid(record, now, term_s)
+    world.lease_requests[record] = LeaseRequest(record, now, term_s)
     world.next_bid_at[duty.value] = now + RENEW_SHARE * term_s / 2
     value = LeaseRecord(
         id=record,
@@ -153,6 +153,6 @@
 
 def _forget_bids(world: World, now: float) -> None:
     limit = 4 * world.settings.timing.lease_term_s
-    for record, bid in list(world.bids.items()):
-        if now - bid.counted_from > limit:
-            del world.bids[record]
+    for record, lease_request in list(world.lease_requests.items()):
+        if now - lease_request.counted_from > limit:
+            del world.lease_requests[record]
--- a/poplarrelay/systems/limits.py
+++ b/poplarrelay/systems/limits.py
@@ -16,15 +16,15 @@
 from poplarrelay.tables.world import World
 
 __all__ = [
+    "answer_store_full",
     "enqueue",
+    "exceeds_fair_share",
     "fill_retry_budget",
-    "memory_full",
-    "over_share",
+    "node_share",
     "queue_refusal",
     "ready_nodes",
     "running_limit",
-    "share",
-    "take_retry",
+    "spend_retry",
 ]
 
 #: Lowest and highest hint for coming back after a full queue, in seconds.
@@ -37,7 +37,7 @@
 SHARE_SLACK = 1.25
 
 
-def share(world: World, limit: int) -> int:
+def node_share(world: World, limit: int) -> int:
     """Return this node's share of a team's limit.
 
     Notes
@@ -58,7 +58,7 @@
     return 1 + sum(others)
 
 
-def over_share(world: World, team: TeamId) -> bool:
+def exceeds_fair_share(world: World, team: TeamId) -> bool:
     """Return whether a team runs more from this node than its fair share.
 
     Notes
@@ -78,7 +78,7 @@
     )
     total = sum(each.priority for each in policies.values())
     fair = slots * policy.priority / total / ready_nodes(world)
-    return world.team_use(team).running >= max(1.0, fair)
+    return world.team_usage(team).running >= max(1.0, fair)
 
 
 def _policy(world: World, team: TeamId) -> TeamPolicy | None:
@@ -88,15 +88,15 @@
 def queue_refusal(world: World, team: TeamId) -> NotRun | None:
     """Return the outcome for one more waiting request, None if it fits."""
     policy = _policy(world, team)
-    use = world.team_use(team)
-    if policy is None or use.queued < share(world, policy.max_queued):
+    usage = world.team_usage(team)
+    if policy is None or usage.queued < node_share(world, policy.max_queued):
         return None
     low, high = QUEUE_RETRY_RANGE_S
-    retry_after_s = min(high, low + QUEUE_RETRY_STEP_S * use.queued)
+    retry_after_s = min(high, low + QUEUE_RETRY_STEP_S * usage.queued)
     return NotRun(NotRunReason.QUEUE_FULL, retry_after_s)
 
 
-def memory_full(world: World) -> bool:
+def answer_store_full(world: World) -> bool:
     """Return whether no more answers can be kept for callers that come back.
 
     Notes
@@ -123,17 +123,17 @@
 def running_limit(world: World, team: TeamId) -> int:
     """Return how many requests of a team may run from this node."""
     policy = _policy(world, team)
-    return 0 if policy is None else share(world, policy.max_running)
+    return 0 if policy is None else node_share(world, policy.max_running)
 
 
 def fill_retry_budget(world: World, policy: TeamPolicy) -> None:
     """Let an accepted request add to its team's retry budget."""
-    use = world.team_use(policy.team)
-    bound = max(MIN_RETRY_BUDGET, float(share(world, policy.max_running)))
-    use.retry_tokens = min(bound, use.retry_tokens + policy.retry_ratio)
+    usage = world.team_usage(policy.team)
+    bound = max(MIN_RETRY_BUDGET, float(node_share(world, policy.max_running)))
+    usage.retry_tokens = min(bound, usage.retry_tokens + policy.retry_ratio)
 
 
-def take_retry(world: World, team: TeamId) -> bool:
+def spend_retry(world: World, team: TeamId) -> bool:
     """Take one retry from the team's budget; False if there is none.
 
     Notes
@@ -142,8 +142,8 @@
     budget bounds the attempts that this adds, so the endpoints that are left are
     not overloaded as well.
     """
-    use = world.team_use(team)
-    if use.retry_tokens < 1.0:
+    usage = world.team_usage(team)
+    if usage.retry_tokens < 1.0:
         return False
-    use.retry_tokens -= 1.0
+    usage.retry_tokens -= 1.0
     return True
--- a/poplarrelay/systems/lookups.py
+++ b/poplarrelay/systems/lookups.py
@@ -15,15 +15,15 @@
 
 from poplarrelay.exception import AuthenticationFailed, RequestNotFound
 from poplarrelay.identifiers import Incarnation, NodeId, RequestId, TeamId
-from poplarrelay.messages.convert import load_outcome
 from poplarrelay.messages.effects import Effect, Reply
-from poplarrelay.messages.gossip import StoredRequest
+from poplarrelay.messages.encoding import decode_outcome
+from poplarrelay.messages.gossip import RequestMessage
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.questions import RequestLookedUp
+from poplarrelay.messages.questions import LookupAsked
 from poplarrelay.outcomes import Outcome
 from poplarrelay.systems.admitting import team_of
-from poplarrelay.systems.copying import rank_peers, told_outcome
-from poplarrelay.systems.homes import home_of
+from poplarrelay.systems.key_ownership import owner_of
+from poplarrelay.systems.request_copies import published_outcome, rank_peers
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.requests import Request
 from poplarrelay.tables.world import World
@@ -33,7 +33,7 @@
     "LookupResult",
     "SearchResult",
     "answer_lookups",
-    "judge_search",
+    "combine_search",
 ]
 
 #: Parts of a request id, with dots between them; see `Gateway.new_request_id`.
@@ -99,7 +99,7 @@
     ABSENT = "absent"
 
 
-def judge_search(
+def combine_search(
     found: LookupElsewhere, copies: bool, silent: Iterable[str]
 ) -> SearchResult:
     """Return what a search without an outcome comes to.
@@ -128,12 +128,12 @@
 
 def answer_lookups(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Answer callers who come for a deferred request."""
-    for asked in inbox.of(RequestLookedUp):
+    for asked in inbox.of(LookupAsked):
         yield Reply(asked.call, _look_up(world, asked))
 
 
 def _look_up(
-    world: World, asked: RequestLookedUp
+    world: World, asked: LookupAsked
 ) -> LookupResult | LookupElsewhere | RequestNotFound | AuthenticationFailed:
     """Return a request's state; for another team's id, as if it did not exist."""
     try:
@@ -146,7 +146,7 @@
     stored = _stored(world, asked.id)
     mine = stored is not None and stored.team == team
     if stored is not None and mine and stored.outcome is not None:
-        return LookupResult(load_outcome(stored.outcome))
+        return LookupResult(decode_outcome(stored.outcome))
     if asked.forwarded and mine:
         return LookupResult(None, copy=True)
     if request is None and not asked.forwarded:
@@ -167,7 +167,7 @@
     confirmation is lost. Until such a copy is confirmed, "running" from this node is
     therefore no more reliable than from a copy, and those peers have to be asked.
     """
-    outcome = told_outcome(world, request)
+    outcome = published_outcome(world, request)
     unconfirmed = outcome is None and request.outcome is not None
     holders = _possible_holders(world, request.id) if unconfirmed else ()
     if forwarded or not holders:
@@ -188,7 +188,7 @@
     )
 
 
-def _stored(world: World, request: RequestId) -> StoredRequest | None:
+def _stored(world: World, request: RequestId) -> RequestMessage | None:
     """Return a peer's request that is held here, or one that is being handed over."""
     held = world.held_copies.get(request)
     if held is not None:
@@ -235,4 +235,4 @@
 def _home(world: World, node: NodeId, incarnation: Incarnation) -> Member | None:
     if incarnation == world.incarnation and world.handover is not None:
         return world.members.get(world.handover.successor)
-    return home_of(world, node, incarnation)
+    return owner_of(world, node, incarnation)
--- a/poplarrelay/systems/membership.py
+++ b/poplarrelay/systems/membership.py
@@ -19,22 +19,22 @@
 from collections.abc import Iterator
 
 from poplarrelay.identifiers import EndpointId, NodeId
-from poplarrelay.messages.effects import Decided, Decision, Effect, ProbePeer, Reply
+from poplarrelay.messages.effects import Decision, Effect, LogDecision, ProbePeer, Reply
 from poplarrelay.messages.gossip import ProbeMessage
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.peers import ProbeAnswered, ProbeFailed, ProbeReceived
-from poplarrelay.messages.platform import NoticeHeard, NoticeSource
+from poplarrelay.messages.platform import NoticeReceived, NoticeSource
 from poplarrelay.systems.gossiping import (
     current_notices,
+    gossip_rows,
     merge_row,
-    news_rows,
     own_row,
     raise_version,
 )
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.world import CLAIMS, CONFIGURATION, NodePhase, World
 
-__all__ = ["judge_self", "probe_peers", "take_news", "watch_suspects"]
+__all__ = ["merge_gossip", "probe_peers", "update_readiness", "watch_suspects"]
 
 #: Peers through which a silent one is tried.
 HELPERS = 2
@@ -47,7 +47,7 @@
 FULL_ROUNDS = 200
 
 
-def _changed(member: Member, why: str) -> Decided:
+def _changed(member: Member, why: str) -> LogDecision:
     fields = (
         ("node", member.node),
         ("incarnation", member.incarnation),
@@ -55,7 +55,7 @@
         ("ready", member.ready),
         ("why", why),
     )
-    return Decided(Decision.MEMBER, fields)
+    return LogDecision(Decision.MEMBER, fields)
 
 
 def _take(world: World, message: ProbeMessage, now: float) -> Iterator[Effect]:
@@ -66,13 +66,13 @@
             yield _changed(merged, "news")
     sender = world.members.get(NodeId(message.sender.node))
     if sender is not None and sender.incarnation == message.sender.incarnation:
-        sender.heard_at = now
-        world.peer_heard_at = now
+        sender.last_seen_at = now
+        world.peer_last_seen_at = now
 
 
-def _notices(message: ProbeMessage) -> list[NoticeHeard]:
+def _notices(message: ProbeMessage) -> list[NoticeReceived]:
     return [
-        NoticeHeard(
+        NoticeReceived(
             notice.remaining_s,
             NoticeSource.PEER,
             endpoint=EndpointId(notice.endpoint),
@@ -81,14 +81,14 @@
     ]
 
 
-def take_news(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def merge_gossip(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Merge what peers said, and answer their probes."""
     for probe in inbox.of(ProbeReceived):
         yield from _take(world, probe.probe, now)
         inbox.add_all(_notices(probe.probe))
         answer = ProbeMessage(
             sender=own_row(world, now),
-            rows=news_rows(world, probe.probe.full),
+            rows=gossip_rows(world, probe.probe.full),
             notices=current_notices(world, now),
         )
         yield Reply(probe.call, answer)
@@ -172,7 +172,7 @@
 def _probe(world: World, full: bool, now: float) -> ProbeMessage:
     return ProbeMessage(
         sender=own_row(world, now),
-        rows=news_rows(world, False),
+        rows=gossip_rows(world, False),
         notices=current_notices(world, now),
         full=full,
     )
@@ -194,7 +194,7 @@
     return None
 
 
-def judge_self(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def update_readiness(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Decide whether this node may take work.
 
     Notes
@@ -205,7 +205,9 @@
     it steps aside after a few seconds.
     """
     position = world.streams[CONFIGURATION]
-    contact = max(position.read_at, world.streams[CLAIMS].read_at, world.peer_heard_at)
+    contact = max(
+        position.read_at, world.streams[CLAIMS].read_at, world.peer_last_seen_at
+    )
     isolated = now - contact > _isolation(world)
     if world.phase is NodePhase.STARTING and position.caught_up:
         world.phase = NodePhase.SERVING
--- a/poplarrelay/systems/leaving.py
+++ b/poplarrelay/systems/moving.py
@@ -15,28 +15,28 @@
 from dataclasses import replace
 
 from poplarrelay.messages.effects import (
-    Count,
-    Counter,
-    Decided,
     Decision,
     Effect,
+    IncrementCounter,
+    LogDecision,
+    Metric,
     MoveAttempt,
 )
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.settings import MovePolicy
-from poplarrelay.systems.dispatching import book_attempt, criteria_for
+from poplarrelay.systems.dispatching import create_attempt, criteria_for
 from poplarrelay.systems.routing import DEFAULT_REPORT, choose_endpoint
 from poplarrelay.tables.endpoints import Endpoint, EndpointState
 from poplarrelay.tables.requests import (
+    MoveMethod,
     MovePlan,
-    MoveWay,
     Request,
     RequestState,
     WorkKind,
 )
 from poplarrelay.tables.world import World
 
-__all__ = ["choose_way", "leave_endpoints"]
+__all__ = ["choose_way", "move_attempts"]
 
 #: Share of the announced time within which an answer must be predicted to end
 #: for it to stay; the rest is room for a wrong prediction.
@@ -53,7 +53,7 @@
     kv_tokens_per_s: float,
     now: float,
     policy: MovePolicy = MovePolicy.CHEAPEST,
-) -> MoveWay:
+) -> MoveMethod:
     """Return how a running attempt leaves an endpoint.
 
     Parameters
@@ -70,28 +70,28 @@
         The operators' choice.
     """
     if request.work.kind is WorkKind.SERVICE or endpoint.leaving_at is None:
-        return MoveWay.FINISH
+        return MoveMethod.FINISH
     if policy is MovePolicy.RECOMPUTE:
-        return MoveWay.RECOMPUTE
+        return MoveMethod.RECOMPUTE
     if policy is MovePolicy.MOVE_CACHE:
-        return MoveWay.MOVE_CACHE
+        return MoveMethod.MOVE_CACHE
     remaining = endpoint.leaving_at - now
     report = endpoint.report or DEFAULT_REPORT
     left = max(0, request.work.max_tokens - request.tokens) * report.step_s
     if request.first_token_at is None:
         left += request.work.prompt_tokens / max(1.0, report.prefill_tokens_per_s)
     if left <= FINISH_SHARE * remaining:
-        return MoveWay.FINISH
+        return MoveMethod.FINISH
     if request.first_token_at is None:
         # Nothing has been computed that would be worth moving.
-        return MoveWay.RECOMPUTE
+        return MoveMethod.RECOMPUTE
     context = request.work.prompt_tokens + request.tokens
     if MOVE_SETUP_S + context / kv_tokens_per_s <= MOVE_SHARE * remaining:
-        return MoveWay.MOVE_CACHE
-    return MoveWay.RECOMPUTE
+        return MoveMethod.MOVE_CACHE
+    return MoveMethod.RECOMPUTE
 
 
-def leave_endpoints(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def move_attempts(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Decide for each attempt on a leaving endpoint, in every tick anew.
 
     Notes
@@ -115,21 +115,21 @@
     limits = world.settings.limits
     speed, policy = limits.kv_tokens_per_s, limits.move_policy
     way = choose_way(request, endpoint, speed, now, policy)
-    if way is MoveWay.FINISH:
+    if way is MoveMethod.FINISH:
         return
     # Fair shares are for new work. Work that runs already must find a place before
     # its endpoint goes, also in the slots that are kept for other teams.
-    criteria = replace(criteria_for(world, request, now), over_share=False)
+    criteria = replace(criteria_for(world, request, now), exceeds_fair_share=False)
     endpoints = list(world.endpoints.values())
     choice = choose_endpoint(endpoints, request, criteria, world.rng)
     if choice is None:
         return
     endpoint.note_ended(request.id, now)
     recomputed = 0
-    if way is MoveWay.RECOMPUTE and request.first_token_at is not None:
+    if way is MoveMethod.RECOMPUTE and request.first_token_at is not None:
         recomputed = request.work.prompt_tokens + request.tokens
-    attempt = book_attempt(world, request, choice, recomputed, now)
-    yield Decided(
+    attempt = create_attempt(world, request, choice, recomputed, now)
+    yield LogDecision(
         Decision.MOVE,
         (
             ("request", request.id),
@@ -140,5 +140,5 @@
             ("remaining_s", round((endpoint.leaving_at or now) - now, 3)),
         ),
     )
-    yield Count(Counter.MOVES, labels=(("way", way.value),))
+    yield IncrementCounter(Metric.MOVES, labels=(("way", way.value),))
     yield MoveAttempt(request.id, MovePlan(way, attempt))
--- a/poplarrelay/systems/placing.py
+++ b/poplarrelay/systems/placing.py
@@ -17,7 +17,7 @@
 
 from poplarrelay.configuration.schema import Template
 from poplarrelay.identifiers import DomainId, EndpointId
-from poplarrelay.messages.effects import Decided, Decision, Effect, GiveOrder
+from poplarrelay.messages.effects import Decision, Effect, LogDecision, SendModelOrder
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.platform import OrderAnswered
 from poplarrelay.systems.leasing import fencing_number, remaining_term
@@ -25,7 +25,7 @@
 from poplarrelay.tables.leases import Duty
 from poplarrelay.tables.world import World
 
-__all__ = ["give_orders", "place_models", "wanted_runners"]
+__all__ = ["place_models", "send_model_orders", "wanted_runners"]
 
 #: Orders whose models may be loading at a time, since the weight store is limited.
 MAX_LOADING = 2
@@ -93,13 +93,13 @@
     return {endpoint: frozenset(models) for endpoint, models in targets.items()}
 
 
-def give_orders(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def send_model_orders(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Order what the engines should have loaded, if this node holds the duty."""
     for answered in inbox.of(OrderAnswered):
         endpoint = world.endpoints.get(answered.endpoint)
         if endpoint is not None:
             endpoint.ordering = False
-            yield Decided(
+            yield LogDecision(
                 Decision.PLACEMENT,
                 (("endpoint", endpoint.id), ("order_taken", answered.taken)),
             )
@@ -116,9 +116,9 @@
     if not wanted:
         return
     targets = place_models(world.endpoints.values(), wanted)
-    latest = now + left - 2 * timeout
+    expires_at = now + left - 2 * timeout
     for endpoint_id, models in sorted(targets.items()):
-        yield from _order(world, world.endpoints[endpoint_id], models, latest, now)
+        yield from _order(world, world.endpoints[endpoint_id], models, expires_at, now)
 
 
 def _loading(world: World) -> int:
@@ -129,7 +129,7 @@
     world: World,
     endpoint: Endpoint,
     models: frozenset[str],
-    latest: float,
+    expires_at: float,
     now: float,
 ) -> Iterator[Effect]:
     if endpoint.loaded is None or endpoint.loaded == models or endpoint.ordering:
@@ -144,7 +144,7 @@
         return
     endpoint.ordering = True
     endpoint.next_order_at = now + ORDER_REPEAT_S
-    yield Decided(
+    yield LogDecision(
         Decision.PLACEMENT,
         (
             ("endpoint", endpoint.id),
@@ -152,11 +152,11 @@
             ("fencing", fencing),
         ),
     )
-    yield GiveOrder(
+    yield SendModelOrder(
         endpoint.id,
         endpoint.address,
         fencing,
         world.node,
         tuple(sorted(models)),
-        latest,
+        expires_at,
     )
--- a/poplarrelay/systems/reporting.py
+++ b/poplarrelay/systems/reporting.py
@@ -95,7 +95,7 @@
             for endpoint in world.endpoints.values()
         },
         requests=_by_state(world),
-        keys=len(world.uses),
+        keys=len(world.key_executions),
         duties={
             duty: {"holder": lease.node, "fencing": lease.offset}
             for duty, lease in world.leases.items()
--- a/poplarrelay/systems/copying.py
+++ b/poplarrelay/systems/request_copies.py
@@ -23,26 +23,32 @@
 from collections.abc import Iterable, Iterator
 
 from poplarrelay.identifiers import DomainId, NodeId, RequestId
-from poplarrelay.messages.convert import load_outcome, store_request
 from poplarrelay.messages.effects import (
     AcceptDeferred,
-    Conclude,
-    Decided,
     Decision,
     Effect,
-    KeepCopy,
+    EndRequest,
+    LogDecision,
+    StoreCopy,
 )
+from poplarrelay.messages.encoding import decode_outcome, encode_request
 from poplarrelay.messages.gossip import CopyMessage, CopyReply
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.peers import CopyAnswered
 from poplarrelay.outcomes import Outcome, Unknown, UnknownReason
-from poplarrelay.systems.concluding import conclude, let_go
+from poplarrelay.systems.concluding import conclude, remove_request
 from poplarrelay.tables.copies import HeldCopy, SentCopy
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import NodePhase, World
 
-__all__ = ["leave_to", "rank_peers", "send_copies", "settled_copy", "told_outcome"]
+__all__ = [
+    "accepted_copy",
+    "published_outcome",
+    "rank_peers",
+    "send_copies",
+    "transfer_to",
+]
 
 #: Peers that are asked in a row to take a copy before a request goes on without one.
 MAX_TRIES = 3
@@ -79,15 +85,15 @@
     return hashlib.blake2b(f"{request} {node}".encode(), digest_size=8).digest()
 
 
-def settled_copy(request: Request) -> SentCopy:
+def accepted_copy(request: Request) -> SentCopy:
     """Return the row of a request that came from its former home."""
-    return SentCopy(accepted=True, told=request.outcome is not None)
+    return SentCopy(accepted=True, published=request.outcome is not None)
 
 
-def told_outcome(world: World, request: Request) -> Outcome | None:
+def published_outcome(world: World, request: Request) -> Outcome | None:
     """Return what callers may be told of one of this node's deferred requests."""
     copy = world.sent_copies.get(request.id)
-    return request.outcome if copy is not None and copy.told else None
+    return request.outcome if copy is not None and copy.published else None
 
 
 def send_copies(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
@@ -111,12 +117,12 @@
     if copy.waiting:
         return False
     ended = request.state is RequestState.ENDED
-    if now < copy.next_at and (copy.told or not ended):
+    if now < copy.next_at and (copy.published or not ended):
         return False
     holder = world.members.get(copy.holder) if copy.holder else None
     gone = (MemberStatus.LEAVING, MemberStatus.DEAD, MemberStatus.LEFT)
     lost = holder is None or holder.status in gone
-    return lost or copy.doubtful or (ended and not copy.ended)
+    return lost or copy.maybe_taken_over or (ended and not copy.ended)
 
 
 def _send(world: World, request: Request, now: float) -> Iterator[Effect]:
@@ -135,9 +141,9 @@
         node=world.node,
         incarnation=world.incarnation,
         generation=world.me.generation,
-        request=store_request(request, now),
+        request=encode_request(request, now),
     )
-    yield KeepCopy(request.id, holder.peers, message)
+    yield StoreCopy(request.id, holder.peers, message)
 
 
 def _next_holder(world: World, request: Request, copy: SentCopy) -> Member | None:
@@ -168,7 +174,7 @@
         yield from _follow(world, request, copy, reply, now)
     elif reply is not None and reply.taken:
         copy.failed.clear()
-        copy.doubtful = False
+        copy.maybe_taken_over = False
         copy.ended = copy.sending_ended
         yield from _accept(request, copy, copied=True)
     elif copy.holder is not None:
@@ -179,10 +185,10 @@
 def _accept(request: Request, copy: SentCopy, copied: bool) -> Iterator[Effect]:
     """Tell the caller what may be told now."""
     ended = copy.ended if copied else request.state is RequestState.ENDED
-    news = not copy.accepted or (ended and not copy.told)
-    copy.told = copy.told or ended
+    news = not copy.accepted or (ended and not copy.published)
+    copy.published = copy.published or ended
     if news:
-        yield Decided(
+        yield LogDecision(
             Decision.DEFER,
             (
                 ("request", request.id),
@@ -202,31 +208,31 @@
 ) -> Iterator[Effect]:
     """Leave a request to the peer that took it over while this node was away."""
     home = world.members.get(copy.holder) if copy.holder else None
-    copy.doubtful = False
+    copy.maybe_taken_over = False
     if reply.outcome is not None:
-        outcome = load_outcome(reply.outcome)
+        outcome = decode_outcome(reply.outcome)
         if request.state is not RequestState.ENDED:
             yield from conclude(world, request, outcome, now)
-        elif not copy.told:
+        elif not copy.published:
             request.outcome = outcome
         copy.ended = True
         yield from _accept(request, copy, copied=True)
     elif home is not None:
         yield from _accept(request, copy, copied=True)
-        stored = store_request(request, now)
+        stored = encode_request(request, now)
         held = HeldCopy(
             home.node, home.incarnation, home.generation, stored, received_at=now
         )
-        yield from leave_to(world, request, held, now)
+        yield from transfer_to(world, request, held, now)
 
 
-def leave_to(
+def transfer_to(
     world: World, request: Request, held: HeldCopy, now: float
 ) -> Iterator[Effect]:
     """Leave a request to the peer that runs it too, and keep a copy for that one."""
-    yield Decided(Decision.DEFER, (("request", request.id), ("left_to", held.home)))
+    yield LogDecision(Decision.DEFER, (("request", request.id), ("left_to", held.home)))
     world.held_copies[request.id] = held
-    let_go(world, request, now)
+    remove_request(world, request, now)
     # Ends the attempt that may still run here.
     outcome = Unknown(UnknownReason.HOME_UNREACHABLE)
-    yield Conclude(request.id, outcome, deferred=True)
+    yield EndRequest(request.id, outcome, deferred=True)
--- a/poplarrelay/systems/routing.py
+++ b/poplarrelay/systems/routing.py
@@ -31,7 +31,7 @@
 )
 from poplarrelay.tables.requests import Request, RequestClass, WorkKind
 
-__all__ = ["Choice", "Criteria", "choose_endpoint", "predict_first_token"]
+__all__ = ["Criteria", "EndpointChoice", "choose_endpoint", "predict_first_token"]
 
 #: What is assumed of an endpoint that has not reported yet.
 DEFAULT_REPORT = LoadReport(slots=4, prefill_tokens_per_s=2000.0, step_s=0.03)
@@ -65,7 +65,7 @@
         Endpoints that failed this request: used only if there is nothing else.
     now : float
         Monotonic time.
-    over_share : bool
+    exceeds_fair_share : bool
         Whether the team runs more than its fair share already: it then leaves a
         part of every endpoint free for the others.
     nodes : int
@@ -80,14 +80,14 @@
     avoided: frozenset[DomainId]
     tried: frozenset[EndpointId]
     now: float
-    over_share: bool = False
+    exceeds_fair_share: bool = False
     nodes: int = 1
     policy: RoutingPolicy = RoutingPolicy.PREDICTED
     turn: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class EndpointChoice:
     """The endpoint chosen and why.
 
     Attributes
@@ -182,7 +182,7 @@
     """
     report = _report(endpoint, criteria.now)
     load = _load(endpoint, report)
-    if criteria.over_share:
+    if criteria.exceeds_fair_share:
         load += (criteria.nodes - 1) * max(0, _change(endpoint))
         return load < report.slots - _reserve(report)
     allowed = report.slots * (1.0 + QUEUE_PER_SLOT[request.request_class])
@@ -218,7 +218,7 @@
 
 def choose_endpoint(
     endpoints: list[Endpoint], request: Request, criteria: Criteria, rng: Random
-) -> Choice | None:
+) -> EndpointChoice | None:
     """Return the endpoint for a request, None if none can take it now.
 
     Parameters
@@ -246,12 +246,12 @@
         baseline = BASELINES[criteria.policy]
         taken = baseline(candidates, request, criteria.turn, rng)
         cached = _has_prefix(taken, request, now)
-        return Choice(taken, predicted[taken.id], cached, len(candidates))
+        return EndpointChoice(taken, predicted[taken.id], cached, len(candidates))
     target = request.first_token_s - (now - request.arrived)
     good = [e for e in candidates if predicted[e.id] <= target]
     pool = _cheapest(good) if good else candidates
     chosen = _with_prefix(good, request, now) or _draw(pool, predicted, rng)
-    return Choice(
+    return EndpointChoice(
         chosen,
         predicted[chosen.id],
         _has_prefix(chosen, request, now),
--- a/poplarrelay/systems/schedule.py
+++ b/poplarrelay/systems/schedule.py
@@ -6,40 +6,44 @@
 
 from poplarrelay.messages.effects import Effect
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.systems.admitting import admit_requests, drop_callers
+from poplarrelay.systems.admitting import admit_requests, cancel_abandoned
 from poplarrelay.systems.attempting import follow_attempts
-from poplarrelay.systems.capacity import steer_capacity
+from poplarrelay.systems.capacity import scale_hosts
 from poplarrelay.systems.claiming import fold_claims, follow_claims, follow_questions
 from poplarrelay.systems.configuring import (
     fold_configuration,
     publish_changes,
     share_configuration,
 )
-from poplarrelay.systems.copying import send_copies
 from poplarrelay.systems.discovering import answer_addresses
 from poplarrelay.systems.dispatching import dispatch_queue
 from poplarrelay.systems.draining import drain, take_handovers
+from poplarrelay.systems.endpoint_monitoring import (
+    poll_endpoints,
+    receive_notices,
+    watch_hosts,
+)
 from poplarrelay.systems.expiring import expire_requests, forget_old_rows
-from poplarrelay.systems.homes import answer_key_questions
+from poplarrelay.systems.key_ownership import answer_key_queries
 from poplarrelay.systems.leasing import keep_leases
-from poplarrelay.systems.leaving import leave_endpoints
 from poplarrelay.systems.lookups import answer_lookups
 from poplarrelay.systems.membership import (
-    judge_self,
+    merge_gossip,
     probe_peers,
-    take_news,
+    update_readiness,
     watch_suspects,
 )
-from poplarrelay.systems.placing import give_orders
+from poplarrelay.systems.moving import move_attempts
+from poplarrelay.systems.placing import send_model_orders
 from poplarrelay.systems.reporting import answer_status
+from poplarrelay.systems.request_copies import send_copies
 from poplarrelay.systems.snapshotting import write_snapshots
 from poplarrelay.systems.takeover import (
-    answer_inquiries,
+    answer_copy_queries,
     hold_copies,
     take_over_copies,
 )
 from poplarrelay.systems.ticketing import follow_forwards
-from poplarrelay.systems.watching import hear_notices, poll_endpoints, watch_hosts
 from poplarrelay.tables.world import World
 
 __all__ = ["SYSTEMS", "System", "run_tick"]
@@ -51,34 +55,34 @@
 SYSTEMS: tuple[System, ...] = (
     fold_configuration,
     fold_claims,
-    take_news,
+    merge_gossip,
     watch_hosts,
-    hear_notices,
+    receive_notices,
     poll_endpoints,
     watch_suspects,
-    judge_self,
-    answer_key_questions,
+    update_readiness,
+    answer_key_queries,
     take_handovers,
     drain,
     follow_attempts,
     follow_forwards,
     follow_questions,
     follow_claims,
-    drop_callers,
+    cancel_abandoned,
     expire_requests,
     admit_requests,
     hold_copies,
-    answer_inquiries,
+    answer_copy_queries,
     take_over_copies,
     send_copies,
-    leave_endpoints,
+    move_attempts,
     dispatch_queue,
     publish_changes,
     share_configuration,
     keep_leases,
     write_snapshots,
-    give_orders,
-    steer_capacity,
+    send_model_orders,
+    scale_hosts,
     answer_addresses,
     answer_lookups,
     answer_status,
--- a/poplarrelay/systems/snapshotting.py
+++ b/poplarrelay/systems/snapshotting.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Iterator
 
-from poplarrelay.messages.effects import AppendRecord, Decided, Decision, Effect
+from poplarrelay.messages.effects import AppendRecord, Decision, Effect, LogDecision
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.systems.configuring import take_snapshot
 from poplarrelay.systems.leasing import remaining_term
@@ -37,7 +37,7 @@
         return
     world.next_snapshot_at = now + world.settings.timing.snapshot_s
     snapshot = take_snapshot(world, world.new_record_id())
-    yield Decided(
+    yield LogDecision(
         Decision.CONFIGURATION,
         (("snapshot_covers", snapshot.covers), ("entries", len(snapshot.entries))),
     )
--- a/poplarrelay/systems/takeover.py
+++ b/poplarrelay/systems/takeover.py
@@ -17,27 +17,33 @@
 from collections.abc import Generator, Iterator
 
 from poplarrelay.identifiers import Incarnation, NodeId, RequestId
-from poplarrelay.messages.convert import load_outcome, load_request, store_outcome
-from poplarrelay.messages.effects import AskCopies, Decided, Decision, Effect, Reply
+from poplarrelay.messages.effects import (
+    Decision,
+    Effect,
+    LogDecision,
+    QueryCopies,
+    Reply,
+)
+from poplarrelay.messages.encoding import decode_outcome, decode_request, encode_outcome
 from poplarrelay.messages.gossip import (
-    CopyInquiry,
     CopyMessage,
+    CopyQuery,
     CopyReply,
-    CopyStanding,
-    CopyStandings,
-    StoredRequest,
+    CopyStatus,
+    CopyStatuses,
+    RequestMessage,
 )
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.peers import CopiesAnswered, CopiesAsked, CopyReceived
+from poplarrelay.messages.peers import CopiesAnswered, CopiesQueried, CopyReceived
 from poplarrelay.outcomes import Unknown, UnknownReason
 from poplarrelay.systems.concluding import conclude, requeue
-from poplarrelay.systems.copying import leave_to, rank_peers, settled_copy
+from poplarrelay.systems.request_copies import accepted_copy, rank_peers, transfer_to
 from poplarrelay.tables.copies import HeldCopy
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import NodePhase, World
 
-__all__ = ["answer_inquiries", "hold_copies", "take_over_copies"]
+__all__ = ["answer_copy_queries", "hold_copies", "take_over_copies"]
 
 #: Peers that are asked before a request is taken over, the first ones by rank.
 MAX_ASKED = 4
@@ -59,13 +65,13 @@
     request_id = RequestId(message.request.id)
     mine = world.requests.get(request_id)
     if mine is not None and message.request.outcome is not None:
-        yield from conclude(world, mine, load_outcome(message.request.outcome), now)
+        yield from conclude(world, mine, decode_outcome(message.request.outcome), now)
     if mine is not None and mine.outcome is not None:
-        return CopyReply(taken=True, moved=True, outcome=store_outcome(mine.outcome))
+        return CopyReply(taken=True, moved=True, outcome=encode_outcome(mine.outcome))
     if mine is not None and not _leaves_to_sender(world, message):
         return CopyReply(taken=True, moved=True)
     if mine is not None:
-        yield from leave_to(world, mine, _held_copy(message, now), now)
+        yield from transfer_to(world, mine, _held_copy(message, now), now)
         return CopyReply(taken=True)
     if world.phase is not NodePhase.SERVING:
         return CopyReply(taken=False)
@@ -100,33 +106,33 @@
     return first == [world.incarnation] or message.node < world.node
 
 
-def _replaces(one: StoredRequest, other: StoredRequest) -> bool:
+def _replaces(one: RequestMessage, other: RequestMessage) -> bool:
     """Return whether a copy holds where another one of the same request is known."""
     if (one.outcome is None) is not (other.outcome is None):
         return one.outcome is not None
     return one.copies > other.copies
 
 
-def answer_inquiries(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def answer_copy_queries(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Tell peers what this node has of requests whose home is gone."""
-    for asked in inbox.of(CopiesAsked):
+    for asked in inbox.of(CopiesQueried):
         standings = tuple(
-            _standing(world, RequestId(request)) for request in asked.inquiry.requests
+            _status(world, RequestId(request)) for request in asked.query.requests
         )
-        yield Reply(asked.call, CopyStandings(standings=standings))
+        yield Reply(asked.call, CopyStatuses(standings=standings))
 
 
-def _standing(world: World, request_id: RequestId) -> CopyStanding:
+def _status(world: World, request_id: RequestId) -> CopyStatus:
     request = world.requests.get(request_id)
     if request is not None:
-        outcome = None if request.outcome is None else store_outcome(request.outcome)
-        return CopyStanding(
+        outcome = None if request.outcome is None else encode_outcome(request.outcome)
+        return CopyStatus(
             request=request_id, state="home", copies=request.copies, outcome=outcome
         )
     held = world.held_copies.get(request_id)
     if held is None:
-        return CopyStanding(request=request_id, state="absent")
-    return CopyStanding(
+        return CopyStatus(request=request_id, state="absent")
+    return CopyStatus(
         request=request_id,
         state="held",
         copies=held.request.copies,
@@ -137,7 +143,7 @@
 def take_over_copies(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Run the requests whose homes are gone, and keep their answers."""
     for answered in inbox.of(CopiesAnswered):
-        _take_standings(world, answered, now)
+        _take_statuses(world, answered, now)
     if world.handover is not None:
         return
     questions: dict[NodeId, list[RequestId]] = {}
@@ -158,8 +164,8 @@
         elif now - held.received_at > world.settings.limits.key_memory_s:
             del world.held_copies[request_id]
     for node, requests in questions.items():
-        inquiry = CopyInquiry(requests=tuple(requests))
-        yield AskCopies(node, world.members[node].peers, inquiry)
+        query = CopyQuery(requests=tuple(requests))
+        yield QueryCopies(node, world.members[node].peers, query)
 
 
 def _gone(world: World, held: HeldCopy, now: float) -> bool:
@@ -212,30 +218,30 @@
     return [peer for peer in first if peer.node not in held.ruled_out]
 
 
-def _take_standings(world: World, answered: CopiesAnswered, now: float) -> None:
+def _take_statuses(world: World, answered: CopiesAnswered, now: float) -> None:
     """Note what a peer has of each request that it was asked for."""
     standings = () if answered.reply is None else answered.reply.standings
-    by_request = {RequestId(standing.request): standing for standing in standings}
+    by_request = {RequestId(status.request): status for status in standings}
     for request_id in answered.requests:
         held = world.held_copies.get(request_id)
         if held is None:
             continue
         held.asked.discard(answered.node)
-        standing = by_request.get(request_id)
-        if standing is None or not _settle(world, held, answered.node, standing):
+        status = by_request.get(request_id)
+        if status is None or not _settle(world, held, answered.node, status):
             held.next_ask_at = now + ASK_AGAIN_S
 
 
-def _settle(world: World, held: HeldCopy, node: NodeId, standing: CopyStanding) -> bool:
+def _settle(world: World, held: HeldCopy, node: NodeId, status: CopyStatus) -> bool:
     """Take a peer's standing, and return whether it need not be asked again."""
-    if standing.outcome is not None:
-        found = {"outcome": standing.outcome, "copies": standing.copies}
+    if status.outcome is not None:
+        found = {"outcome": status.outcome, "copies": status.copies}
         held.request = held.request.model_copy(update=found)
-    elif standing.state == "home":
+    elif status.state == "home":
         member = world.members.get(node)
         if member is not None:
             _rehome(held, member)
-    elif standing.state == "absent" or _goes_before(world, held, node, standing):
+    elif status.state == "absent" or _goes_before(world, held, node, status):
         held.ruled_out.add(node)
     else:
         return False
@@ -243,18 +249,18 @@
 
 
 def _goes_before(
-    world: World, held: HeldCopy, node: NodeId, standing: CopyStanding
+    world: World, held: HeldCopy, node: NodeId, status: CopyStatus
 ) -> bool:
     """Return whether this node's copy is the newer one; by name where both are."""
     mine = (held.request.copies, world.node)
-    return mine > (standing.copies, node)
+    return mine > (status.copies, node)
 
 
 def _take_over(world: World, held: HeldCopy, now: float) -> Iterator[Effect]:
     spent = now - held.received_at
-    request = load_request(held.request, now - spent)
+    request = decode_request(held.request, now - spent)
     world.requests[request.id] = request
-    yield Decided(
+    yield LogDecision(
         Decision.DEFER,
         (
             ("request", request.id),
@@ -265,7 +271,7 @@
     )
     if request.outcome is None and not _repeatable(request):
         request.outcome = Unknown(UnknownReason.HOME_UNREACHABLE)
-    world.sent_copies[request.id] = settled_copy(request)
+    world.sent_copies[request.id] = accepted_copy(request)
     if request.outcome is not None:
         request.state = RequestState.ENDED
         request.ended_at = now
--- a/poplarrelay/systems/tests/test_at_most_once.py
+++ b/poplarrelay/systems/tests/test_at_most_once.py
@@ -10,7 +10,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from poplarrelay.messages.effects import AppendRecord, AskKey, Forward, RunAttempt
+from poplarrelay.messages.effects import (
+    AppendRecord,
+    ForwardRequest,
+    QueryKey,
+    RunAttempt,
+)
 from poplarrelay.testing.fakes import FakeSystem
 
 NODES = st.sampled_from(["n1", "n2", "n3"])
@@ -25,15 +30,15 @@
         self.tickets = {}
 
     @rule(node=NODES, key=KEYS, wait=st.sampled_from([1.0, 8.0]))
-    def present_plain_key(self, node, key, wait):
+    def submit_caller_key(self, node, key, wait):
         if not self.system.nodes[node].dead:
-            self.system.present(node, key, wait)
+            self.system.submit(node, key, wait)
 
     @rule(node=NODES, home=NODES, nonce=NONCES, wait=st.sampled_from([1.0, 8.0]))
-    def present_ticket(self, node, home, nonce, wait):
+    def submit_ticket(self, node, home, nonce, wait):
         ticket = self.tickets.setdefault((home, nonce), self.system.ticket(home, nonce))
         if not self.system.nodes[node].dead:
-            self.system.present(node, ticket, wait)
+            self.system.submit(node, ticket, wait)
 
     @rule()
     def tick_all(self):
@@ -52,7 +57,7 @@
 
     @precondition(lambda self: self.system.actions)
     @rule(
-        kind=st.sampled_from([AppendRecord, RunAttempt, AskKey, Forward]),
+        kind=st.sampled_from([AppendRecord, RunAttempt, QueryKey, ForwardRequest]),
         lost=st.booleans(),
     )
     def perform_kind(self, kind, lost):
@@ -63,7 +68,7 @@
     def race(self, key, one, other):
         for node in (one, other):
             if not self.system.nodes[node].dead:
-                self.system.present(node, key)
+                self.system.submit(node, key)
         self.system.tick_all()
 
     @precondition(
@@ -123,8 +128,8 @@
         self.system.log.up = True
         self.system.settle(rounds=60)
         assert not self.system.violations, self.system.violations[0]
-        for presentation in self.system.presentations.values():
-            assert len(presentation.outcomes) <= 1
+        for submission in self.system.submissions.values():
+            assert len(submission.outcomes) <= 1
 
 
 AtMostOnce.TestCase.settings = settings(
--- a/poplarrelay/systems/tests/test_copying.py
+++ b/poplarrelay/systems/tests/test_copying.py
@@ -3,9 +3,14 @@
 import pytest
 
 from poplarrelay.identifiers import NodeId
-from poplarrelay.messages.effects import AskCopies, HandOver, KeepCopy, RunAttempt
-from poplarrelay.systems.copying import MAX_TRIES
-from poplarrelay.systems.copying import RETRY_S as ALONE_RETRY_S
+from poplarrelay.messages.effects import (
+    QueryCopies,
+    RunAttempt,
+    SendHandover,
+    StoreCopy,
+)
+from poplarrelay.systems.request_copies import MAX_TRIES
+from poplarrelay.systems.request_copies import RETRY_S as ALONE_RETRY_S
 from poplarrelay.tables.members import MemberStatus
 from poplarrelay.testing.fakes import FakeSystem
 
@@ -33,7 +38,7 @@
     """Defer a request at the first node, and have its outcome copied."""
     deferral = system.defer("n1")
     system.tick_all()
-    for kind in (KeepCopy, RunAttempt, KeepCopy):
+    for kind in (StoreCopy, RunAttempt, StoreCopy):
         _pass_on(system, kind)
     return deferral
 
@@ -41,9 +46,9 @@
 def _run_twice_copied(system, deferral):
     """Let the first peer asked be too late, so that a second one holds the copy too."""
     system.tick_all()
-    _pass_on(system, KeepCopy, lost=True)
+    _pass_on(system, StoreCopy, lost=True)
     (stale,) = _held_by(system, deferral)
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     _pass_on(system, RunAttempt)
     (holder,) = _held_by(system, deferral) - {stale}
     return stale, holder
@@ -55,7 +60,7 @@
     system.tick_all()
     _pass_on(system, RunAttempt)
     assert not deferral.accepted
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     assert deferral.accepted
     assert deferral.copied
     # That copy was sent before the request ended.
@@ -66,10 +71,10 @@
     # Guards against an answer that a caller has fetched and a crash takes back.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     _pass_on(system, RunAttempt)
     assert system.look_up("n1", deferral) == "running"
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
     system.crash("n1")
     system.declare_dead("n1")
@@ -83,9 +88,9 @@
     # Guards against "running" from the home after the holder has told the outcome.
     deferral = system.defer("n1", repeatable=False)
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     _pass_on(system, RunAttempt)
-    system.perform_all(KeepCopy, lost=True)
+    system.perform_all(StoreCopy, lost=True)
     (holder,) = _held_by(system, deferral)
     assert system.look_up(holder, deferral) == "answered"
     for name in system.nodes:
@@ -97,12 +102,12 @@
     system = FakeSystem(("n1", "n2", "n3", "n4", "n5", "n6"))
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     for name in system.nodes.keys() - {"n1"}:
         system.crash(name)
     _pass_on(system, RunAttempt)
     for _ in range(MAX_TRIES):
-        _pass_on(system, KeepCopy)
+        _pass_on(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
 
 
@@ -123,15 +128,15 @@
     for _ in range(2):
         system.tick_all()
         asked += [
-            a.effect.peer for a in system.actions if isinstance(a.effect, KeepCopy)
+            a.effect.peer for a in system.actions if isinstance(a.effect, StoreCopy)
         ]
-        _pass_on(system, KeepCopy, lost=True)
+        _pass_on(system, StoreCopy, lost=True)
     assert len(set(asked)) == 2
     assert deferral.accepted
     assert not deferral.copied
     system.now += ALONE_RETRY_S
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     assert system.nodes["n1"].world.sent_copies[deferral.id].holder is not None
 
 
@@ -141,7 +146,7 @@
     system.tick_all()
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     assert deferral.accepted
 
 
@@ -150,7 +155,7 @@
     # Guards against a second run, and a withdrawn answer, from a peer's old copy.
     deferral = system.defer("n1", repeatable)
     stale, holder = _run_twice_copied(system, deferral)
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
     system.crash("n1")
     for name in (stale, holder):
@@ -167,7 +172,7 @@
     system = FakeSystem(("n1", "n2", "n3", "n4"))
     deferral = system.defer("n1")
     stale, holder = _run_twice_copied(system, deferral)
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     (other,) = set(system.nodes) - {"n1", stale, holder}
     system.crash("n1")
     assert system.look_up(other, deferral) == "answered"
@@ -180,7 +185,7 @@
     system = FakeSystem(("n1", "n2", "n3", "n4"))
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     (holder,) = _held_by(system, deferral)
     system.freeze(holder)
     for name in ("n1", holder):
@@ -195,7 +200,7 @@
     # Guards against a final "no such request" from a node that knows nobody yet.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     system.crash("n3")
     system.start("n3")
     assert system.look_up("n3", deferral) == "not_known"
@@ -205,8 +210,8 @@
     # Guards against two peers that both run a request after its home's crash.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy, lost=True)
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy, lost=True)
+    _pass_on(system, StoreCopy)
     assert len(_held_by(system, deferral)) == 2
     system.crash("n1")
     system.declare_dead("n1")
@@ -220,7 +225,7 @@
     # Guards against a takeover while a frozen peer has the answer.
     deferral = system.defer("n1")
     stale, holder = _run_twice_copied(system, deferral)
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     system.crash("n1")
     system.freeze(holder)
     system.nodes[stale].world.members[NodeId("n1")].status = MemberStatus.DEAD
@@ -237,13 +242,13 @@
     # Guards against a copy that was stuck in a socket and arrives after the answer's.
     deferral = system.defer("n1")
     system.tick_all()
-    (late,) = [a for a in system.actions if isinstance(a.effect, KeepCopy)]
-    _pass_on(system, KeepCopy)
+    (late,) = [a for a in system.actions if isinstance(a.effect, StoreCopy)]
+    _pass_on(system, StoreCopy)
     _pass_on(system, RunAttempt)
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     (holder,) = _held_by(system, deferral)
     system.actions.append(late)
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     held = system.nodes[holder].world.held_copies[deferral.id]
     assert held.request.outcome is not None
 
@@ -260,10 +265,10 @@
             system.nodes[name].world.members.pop(NodeId("n1"))
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     for _ in range(3):
         system.tick_all()
-        _pass_on(system, AskCopies)
+        _pass_on(system, QueryCopies)
     assert len(_held_by(system, deferral)) == 1
     assert system.look_up("n1", deferral) == "running"
 
@@ -272,15 +277,15 @@
     # Guards against two homes that tell a caller different things.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     system.freeze("n1")
     system.declare_dead("n1")
     system.settle(10)
     assert system.look_up("n2", deferral) == "answered"
     system.thaw("n1")
-    system.meet()
+    system.introduce_all()
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
     system.settle(10)
     for name in system.nodes:
@@ -291,13 +296,13 @@
     # Guards against a request that looks as if it ran for ever after its home has left.
     deferral = system.defer("n1", repeatable=False)
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     system.leave("n1", 5.0)
     system.tick_all()
     system.now += 4.0
     system.tick_all()
-    _pass_on(system, HandOver)
-    system.meet()
+    _pass_on(system, SendHandover)
+    system.introduce_all()
     system.tick_all()
     for name in ("n2", "n3"):
         assert system.look_up(name, deferral) == "unknown"
@@ -308,21 +313,21 @@
     # Guards against a request that nobody runs after a holder was taken for dead.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, KeepCopy)
+    _pass_on(system, StoreCopy)
     (holder,) = _held_by(system, deferral)
     system.crash("n1")
     system.declare_dead("n1")
-    for kind in (AskCopies, KeepCopy):
+    for kind in (QueryCopies, StoreCopy):
         system.tick_all()
         _pass_on(system, kind)
     system.freeze(holder)
     system.declare_dead(holder)
     system.tick_all()
     system.thaw(holder)
-    system.meet()
+    system.introduce_all()
     system.now += ALONE_RETRY_S
     system.tick_all()
-    sent = [a for a in system.actions if isinstance(a.effect, KeepCopy)]
+    sent = [a for a in system.actions if isinstance(a.effect, StoreCopy)]
     assert len({action.node.name for action in sent}) == 2
     system.perform(sent[first])
     system.perform(sent[1 - first])
--- a/poplarrelay/systems/tests/test_deferred_machine.py
+++ b/poplarrelay/systems/tests/test_deferred_machine.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from poplarrelay.messages.effects import AskCopies, KeepCopy, RunAttempt
+from poplarrelay.messages.effects import QueryCopies, RunAttempt, StoreCopy
 from poplarrelay.testing.fakes import FakeSystem
 
 NAMES = ("n1", "n2", "n3", "n4")
 NODES = st.sampled_from(NAMES)
-KINDS = st.sampled_from([KeepCopy, AskCopies, RunAttempt])
+KINDS = st.sampled_from([StoreCopy, QueryCopies, RunAttempt])
 OPEN = ("running", "not_known")
 MAX_FROZEN = 1
 
@@ -66,7 +66,7 @@
     def thaw(self):
         for name in self._frozen:
             self.system.thaw(name)
-        self.system.meet()
+        self.system.introduce_all()
         self.system.tick_all()
 
     @precondition(lambda self: self.crashed is None)
@@ -117,7 +117,7 @@
     def teardown(self):
         for name in self._frozen:
             self.system.thaw(name)
-        self.system.meet()
+        self.system.introduce_all()
         if self.crashed is not None:
             self.system.declare_dead(self.crashed)
         self.system.settle(20)
--- a/poplarrelay/systems/tests/test_leasing.py
+++ b/poplarrelay/systems/tests/test_leasing.py
@@ -57,7 +57,7 @@
         )
         list(fold_configuration(world, Inbox([batch]), self.now))
 
-    def bids(self, world):
+    def lease_requests(self, world):
         effects = list(keep_leases(world, Inbox(), self.now))
         return [e.value for e in effects if isinstance(e, AppendRecord)]
 
@@ -66,7 +66,7 @@
         while self.now < end:
             self.now += step
             for world in running:
-                self.records.extend(self.bids(world))
+                self.records.extend(self.lease_requests(world))
                 self.read(world)
             self.assert_one_holder()
 
@@ -92,10 +92,10 @@
     takers.run(0.0, [])
     takers.now += 2.0
     for world in takers.worlds:
-        takers.bids(world)
+        takers.lease_requests(world)
     takers.now += 2.0
     for world in takers.worlds:
-        takers.records.extend(takers.bids(world))
+        takers.records.extend(takers.lease_requests(world))
     for world in takers.worlds:
         takers.read(world)
     assert takers.holders() == [one]
@@ -131,9 +131,9 @@
     # read the record early and count from there.
     world = takers.worlds[0]
     takers.now += 2.0
-    takers.bids(world)
+    takers.lease_requests(world)
     takers.now += 2.0
-    sent = takers.bids(world)
+    sent = takers.lease_requests(world)
     takers.records.extend(sent)
     takers.now += TERM_S - 1.0
     takers.read(world)
@@ -146,9 +146,9 @@
     # The record is appended twice under one id; the repetition replaces nothing.
     world = takers.worlds[0]
     takers.now += 2.0
-    takers.bids(world)
+    takers.lease_requests(world)
     takers.now += 2.0
-    sent = takers.bids(world)
+    sent = takers.lease_requests(world)
     takers.records.extend(sent + sent)
     takers.read(world)
     first = next(
@@ -163,7 +163,10 @@
     takers.run(5.0, takers.worlds)
     (holder,) = takers.holders()
     takers.now += TERM_S + 0.1
-    assert takers.bids(holder) == [] or remaining_term(holder, DUTY, takers.now) == 0.0
+    assert (
+        takers.lease_requests(holder) == []
+        or remaining_term(holder, DUTY, takers.now) == 0.0
+    )
     assert takers.holders() == []
 
 
--- a/poplarrelay/systems/tests/test_limits.py
+++ b/poplarrelay/systems/tests/test_limits.py
@@ -20,15 +20,15 @@
     AttemptResult,
     RequestArrived,
 )
-from poplarrelay.messages.effects import Conclude, MoveAttempt, RunAttempt
+from poplarrelay.messages.effects import EndRequest, MoveAttempt, RunAttempt
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.platform import NoticeHeard, NoticeSource, RecordsRead
+from poplarrelay.messages.platform import NoticeReceived, NoticeSource, RecordsRead
 from poplarrelay.outcomes import NotRun, NotRunReason
 from poplarrelay.systems.configuring import rebuild
 from poplarrelay.systems.schedule import run_tick
 from poplarrelay.tables.configuration import InForce
 from poplarrelay.tables.endpoints import EndpointKind, EndpointState, LoadReport
-from poplarrelay.tables.requests import MoveWay, RequestClass, Work, WorkKind
+from poplarrelay.tables.requests import MoveMethod, RequestClass, Work, WorkKind
 from poplarrelay.tables.world import CONFIGURATION
 from poplarrelay.testing.builders import deployment_body, template_body
 from poplarrelay.testing.site import hash_token, team_token
@@ -109,7 +109,7 @@
 
 
 def outcomes(effects):
-    return {e.request: e.outcome for e in effects if isinstance(e, Conclude)}
+    return {e.request: e.outcome for e in effects if isinstance(e, EndRequest)}
 
 
 @pytest.fixture
@@ -169,14 +169,14 @@
     assert told
     assert {o.reason for o in told} == {NotRunReason.QUEUE_FULL}
     assert all(o.retry_after_s for o in told)
-    assert node.world.team_use(ALPHA).queued <= 10
+    assert node.world.team_usage(ALPHA).queued <= 10
 
 
 def test_a_team_runs_no_more_than_its_limit():
     node = Node(engines=3, max_running=4)
     started = runs(node.tick(*node.arrive("alpha", count=12)))
     assert len(started) == 5
-    assert node.world.team_use(ALPHA).running == 5
+    assert node.world.team_usage(ALPHA).running == 5
 
 
 def test_an_expired_deadline_ends_a_waiting_request_at_once(node):
@@ -233,17 +233,17 @@
 def test_announced_moves_take_nothing_from_the_retry_budget():
     node = Node(engines=3)
     (run,) = runs(node.tick(*node.arrive("alpha", max_tokens=4000)))
-    before = node.world.team_use(ALPHA).retry_tokens
+    before = node.world.team_usage(ALPHA).retry_tokens
     victim = node.world.endpoints[run.attempt.endpoint]
     progressed = AttemptProgressed(run.attempt.request, run.attempt.id, 5)
-    notice = NoticeHeard(2.0, NoticeSource.CLOUD, endpoint=victim.id)
+    notice = NoticeReceived(2.0, NoticeSource.CLOUD, endpoint=victim.id)
     effects = node.tick(progressed, notice)
     moves = [e for e in effects if isinstance(e, MoveAttempt)]
     effects = effects or node.tick()
     moves += [e for e in effects if isinstance(e, MoveAttempt) and e not in moves]
-    assert [move.plan.way for move in moves] == [MoveWay.MOVE_CACHE]
+    assert [move.plan.way for move in moves] == [MoveMethod.MOVE_CACHE]
     assert moves[0].plan.successor.endpoint != victim.id
-    assert node.world.team_use(ALPHA).retry_tokens == before
+    assert node.world.team_usage(ALPHA).retry_tokens == before
 
 
 def test_moves_may_use_the_slots_kept_for_other_teams():
@@ -256,7 +256,7 @@
     progress = [
         AttemptProgressed(run.attempt.request, run.attempt.id, 5) for run in started
     ]
-    effects = node.tick(*progress, NoticeHeard(2.0, NoticeSource.CLOUD, endpoint=E0))
+    effects = node.tick(*progress, NoticeReceived(2.0, NoticeSource.CLOUD, endpoint=E0))
     moves = [e for e in effects if isinstance(e, MoveAttempt)]
     assert len(moves) == 3
 
@@ -264,7 +264,7 @@
 def test_work_that_ends_in_time_stays_on_a_leaving_engine():
     node = Node(engines=3)
     (run,) = runs(node.tick(*node.arrive("alpha", max_tokens=20)))
-    notice = NoticeHeard(5.0, NoticeSource.CLOUD, endpoint=run.attempt.endpoint)
+    notice = NoticeReceived(5.0, NoticeSource.CLOUD, endpoint=run.attempt.endpoint)
     effects = node.tick(notice)
     assert not [e for e in effects if isinstance(e, MoveAttempt)]
 
@@ -275,7 +275,7 @@
     progress = [
         AttemptProgressed(run.attempt.request, run.attempt.id, 5) for run in started
     ]
-    notice = NoticeHeard(2.0, NoticeSource.CLOUD, domain=DomainId("east"))
+    notice = NoticeReceived(2.0, NoticeSource.CLOUD, domain=DomainId("east"))
     effects = node.tick(*progress, notice)
     moves = [e for e in effects if isinstance(e, MoveAttempt)]
     targets = [node.world.endpoints[m.plan.successor.endpoint].domain for m in moves]
@@ -286,9 +286,9 @@
 
 def test_a_stale_host_list_does_not_take_back_a_notice():
     node = Node(engines=2)
-    notice = NoticeHeard(5.0, NoticeSource.CLOUD, endpoint=E0)
+    notice = NoticeReceived(5.0, NoticeSource.CLOUD, endpoint=E0)
     node.tick(notice)
-    node.tick(NoticeHeard(60.0, NoticeSource.PEER, endpoint=E0))
+    node.tick(NoticeReceived(60.0, NoticeSource.PEER, endpoint=E0))
     endpoint = node.world.endpoints[E0]
     assert endpoint.state is EndpointState.LEAVING
     assert endpoint.leaving_at == node.now + 5.0
@@ -306,7 +306,7 @@
         for endpoint in node.world.endpoints.values():
             endpoint.sent.clear()
             endpoint.changes.clear()
-        node.world.team_use(ALPHA).running = 0
+        node.world.team_usage(ALPHA).running = 0
     engine = node.world.endpoints[E0]
     assert engine.closed_until > node.now
     assert not runs(node.tick(*node.arrive("alpha")))
--- a/poplarrelay/systems/tests/test_placing.py
+++ b/poplarrelay/systems/tests/test_placing.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from poplarrelay.engines.http import give_order
+from poplarrelay.engines.http import send_model_order
 from poplarrelay.identifiers import EndpointId, NodeId, Offset
-from poplarrelay.messages.effects import GiveOrder
-from poplarrelay.providers.http import JsonCaller
+from poplarrelay.messages.effects import SendModelOrder
+from poplarrelay.providers.http import JsonHttpClient
 from poplarrelay.systems.placing import place_models
 from poplarrelay.tables.endpoints import EndpointKind, EndpointState
 from poplarrelay.testing.worlds import make_endpoint
@@ -66,12 +66,12 @@
 def test_an_order_is_not_sent_after_the_term():
     # The holder was paused between its decision and the send, past the term of its
     # lease. Nothing listens at the address: a send would fail, and none is tried.
-    order = GiveOrder(
+    order = SendModelOrder(
         EndpointId("e"), "127.0.0.1:1", Offset(3), NodeId("n1"), ("small",), 0.0
     )
 
-    class Forbidden(JsonCaller):
+    class Forbidden(JsonHttpClient):
         def call(self, *arguments, **options):
             raise AssertionError("an order was sent after the term")
 
-    assert give_order(order, Forbidden(1.0), 1.0) is False
+    assert send_model_order(order, Forbidden(1.0), 1.0) is False
--- a/poplarrelay/systems/tests/test_safeguards.py
+++ b/poplarrelay/systems/tests/test_safeguards.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from poplarrelay.exception import KeyMalformed
+from poplarrelay.exception import MalformedKey
 from poplarrelay.messages.effects import (
     AppendRecord,
-    AskKey,
-    AskPeers,
-    Forward,
-    HandOver,
+    ForwardRequest,
+    QueryAllPeers,
+    QueryKey,
     RunAttempt,
+    SendHandover,
 )
 from poplarrelay.outcomes import Answered, NotRun, Unknown, UnknownReason
 from poplarrelay.testing.fakes import FakeSystem
@@ -49,7 +49,7 @@
     # The caller sends the same booking to two nodes at once. Both claim it before
     # either has read the other's claim; the first in the log wins on both, and the
     # other node gets the answer from the winner.
-    first, second = system.present("n1", "seat"), system.present("n2", "seat")
+    first, second = system.submit("n1", "seat"), system.submit("n2", "seat")
     system.tick_all()
     system.perform_all(AppendRecord)
     system.settle()
@@ -62,8 +62,8 @@
 def test_late_claim_of_a_second_node_does_not_replace_the_first(system):
     # The winner has run the booking already when the second claim, sent before the
     # first was read, reaches the log.
-    system.present("n1", "seat")
-    system.present("n2", "seat")
+    system.submit("n1", "seat")
+    system.submit("n2", "seat")
     system.tick_all()
     late = next(a for a in system.actions if a.node.name == "n2")
     system.actions.remove(late)
@@ -81,26 +81,26 @@
 def test_lost_append_answer_is_sent_again_and_wins_once(system):
     # The claim is in the log, its answer is lost, and it is appended again under the
     # same record id. The repetition replaces nothing.
-    presentation = system.present("n1", "seat")
+    submission = system.submit("n1", "seat")
     system.tick_all()
     system.perform_all(AppendRecord, lost=True)
     system.settle()
     assert system.runs["seat"] == 1
-    assert len(presentation.outcomes) == 1
+    assert len(submission.outcomes) == 1
 
 
 def test_restarted_process_does_not_run_its_predecessors_claim(system):
     # The node claims, runs and crashes before it answers. The caller asks the
     # process that took its place: it cannot know what ran, and says so.
-    system.present("n1", "seat")
+    system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
     system.crash("n1")
     system.start("n1")
-    system.meet()
+    system.introduce_all()
     system.read_log("n1")
     system.tick("n1")
-    again = system.present("n1", "seat")
+    again = system.submit("n1", "seat")
     system.settle()
     assert system.runs["seat"] == 1
     assert isinstance(again.outcomes[0], Unknown)
@@ -109,10 +109,10 @@
 def test_frozen_holder_makes_the_key_unknown(system):
     # The holder is frozen after it has won its claim. Another node asks it, gets no
     # answer, and neither runs the booking nor says that it was not run.
-    system.present("n1", "seat")
+    system.submit("n1", "seat")
     _win_claim(system)
     system.freeze("n1")
-    again = system.present("n2", "seat")
+    again = system.submit("n2", "seat")
     system.settle()
     assert isinstance(again.outcomes[0], Unknown)
     system.thaw("n1")
@@ -124,14 +124,14 @@
 def test_thawed_node_does_not_run_what_its_caller_gave_up(system):
     # The node is frozen between its decision and the first byte, for longer than
     # the deadline. Thawed, it must not send.
-    presentation = system.present("n1", system.ticket("n1", "a"), timeout_s=2.0)
+    submission = system.submit("n1", system.ticket("n1", "a"), timeout_s=2.0)
     system.tick_all()
     assert _kinds(system) == [RunAttempt]
     system.freeze("n1")
     system.now += 5.0
     system.thaw("n1")
     system.settle()
-    assert system.runs[presentation.key] == 0
+    assert system.runs[submission.key] == 0
 
 
 def test_request_read_after_a_freeze_came_before_it(system):
@@ -139,9 +139,9 @@
     # by another one. Thawed, the first node finds the request in its socket buffer.
     # Its caller may hold the same seat under a new key by then.
     system.freeze("n2")
-    system.present("n2", "seat", timeout_s=30.0)
+    system.submit("n2", "seat", timeout_s=30.0)
     system.now += 1.0
-    system.present("n1", "seat", timeout_s=2.0)
+    system.submit("n1", "seat", timeout_s=2.0)
     system.tick("n1")
     system.perform_all(AppendRecord)
     system.read_log("n1")
@@ -162,8 +162,8 @@
     # Two nodes hold the same booking. The one that has the claim gives it up before
     # it ran and tells its caller "not run". The other one, which waits for it, came
     # earlier and must end as well: its caller may hold the same seat under a new key.
-    system.present("n1", "seat", timeout_s=4.0)
-    system.present("n2", "seat", timeout_s=30.0)
+    system.submit("n1", "seat", timeout_s=4.0)
+    system.submit("n2", "seat", timeout_s=30.0)
     system.tick_all()
     system.perform_all(AppendRecord)
     for name in ("n1", "n2"):
@@ -185,7 +185,7 @@
 def test_log_outage_asks_the_peers_before_it_says_not_run(system):
     # One node has run the booking; the other one has not read the claim and cannot,
     # because the log is away. It must not say "not run".
-    system.present("n1", "seat")
+    system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
     system.tick("n1")
@@ -193,7 +193,7 @@
     for name in system.nodes:
         system.read_log(name)
     system.tick_all()
-    again = system.present("n2", "seat")
+    again = system.submit("n2", "seat")
     system.settle()
     assert isinstance(again.outcomes[0], Unknown)
     assert not system.violations
@@ -206,12 +206,12 @@
     for name in system.nodes:
         system.read_log(name)
     system.tick_all()
-    presentation = system.present("n2", "seat")
+    submission = system.submit("n2", "seat")
     system.tick_all()
-    system.perform_all(AskPeers)
+    system.perform_all(QueryAllPeers)
     system.tick_all()
-    assert isinstance(presentation.outcomes[0], NotRun)
-    assert presentation.outcomes[0].retry_after_s is not None
+    assert isinstance(submission.outcomes[0], NotRun)
+    assert submission.outcomes[0].retry_after_s is not None
 
 
 def test_log_outage_with_a_peer_that_does_not_answer_is_unknown(system):
@@ -220,26 +220,26 @@
         system.read_log(name)
     system.tick_all()
     system.freeze("n3")
-    presentation = system.present("n2", "seat")
+    submission = system.submit("n2", "seat")
     system.settle()
-    assert isinstance(presentation.outcomes[0], Unknown)
+    assert isinstance(submission.outcomes[0], Unknown)
 
 
 def test_restarted_peer_does_not_vouch_for_its_predecessor(system):
     # A node claims and runs a booking, crashes, and starts again while the log is
     # away. Asked by another node, the new process knows nothing of the key; that
     # must not count as "nobody has run it".
-    system.present("n1", "seat")
+    system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
     system.log.up = False
     system.crash("n1")
     system.start("n1")
-    system.meet()
+    system.introduce_all()
     for name in system.nodes:
         system.read_log(name)
     system.tick_all()
-    again = system.present("n2", "seat")
+    again = system.submit("n2", "seat")
     system.settle()
     assert isinstance(again.outcomes[0], Unknown)
     assert not system.violations
@@ -248,12 +248,12 @@
 def test_claim_that_comes_into_force_late_is_not_used(system):
     # The log is slow: the caller has been told how its request ended before the
     # claim can be read. The claim then comes into force, and nothing may run.
-    presentation = system.present("n1", "seat", timeout_s=1.0)
+    submission = system.submit("n1", "seat", timeout_s=1.0)
     system.tick_all()
     system.perform_all(AppendRecord)
     system.now += 3.0
     system.tick("n1")
-    assert presentation.outcomes
+    assert submission.outcomes
     system.settle()
     assert system.runs["seat"] == 0
     assert not system.violations
@@ -262,13 +262,13 @@
 def test_key_that_was_given_up_can_be_presented_again(system):
     # The first request ended before its claim could be read. The caller comes back
     # with the same key, as it was told to, and now the booking runs.
-    system.present("n1", "seat", timeout_s=1.0)
+    system.submit("n1", "seat", timeout_s=1.0)
     system.tick_all()
     system.now += 3.0
     system.tick_all()
-    system.perform_all(AskPeers)
+    system.perform_all(QueryAllPeers)
     system.tick_all()
-    again = system.present("n1", "seat")
+    again = system.submit("n1", "seat")
     system.settle()
     assert isinstance(again.outcomes[0], Answered)
     assert system.runs["seat"] == 1
@@ -278,10 +278,10 @@
 def test_deadline_while_claiming_is_unknown(system):
     # Another node has run the key; this one is still waiting to read its claim when
     # the deadline passes.
-    system.present("n1", "seat")
+    system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
-    late = system.present("n2", "seat", timeout_s=0.5)
+    late = system.submit("n2", "seat", timeout_s=0.5)
     system.tick("n2")
     system.now += 1.0
     system.tick("n2")
@@ -291,39 +291,39 @@
 
 def test_broken_attempt_is_not_sent_again(system):
     # The desk runs the booking and its answer is lost.
-    presentation = system.present("n1", system.ticket("n1", "a"))
+    submission = system.submit("n1", system.ticket("n1", "a"))
     system.tick_all()
     system.perform_all(RunAttempt, lost=True)
     system.settle()
-    assert system.runs[presentation.key] == 1
-    assert isinstance(presentation.outcomes[0], Unknown)
+    assert system.runs[submission.key] == 1
+    assert isinstance(submission.outcomes[0], Unknown)
 
 
 def test_refused_attempt_is_sent_again(system):
     # No byte reached the desk, so another attempt does no harm.
-    presentation = system.present("n1", system.ticket("n1", "a"))
+    submission = system.submit("n1", system.ticket("n1", "a"))
     system.tick_all()
     system.refuse_attempt(system.actions[0])
     system.settle()
-    assert system.runs[presentation.key] == 1
-    assert isinstance(presentation.outcomes[0], Answered)
+    assert system.runs[submission.key] == 1
+    assert isinstance(submission.outcomes[0], Answered)
 
 
 def test_attempt_that_outlives_its_deadline_is_unknown(system):
     # The attempt has been sent and nothing comes back. It may have run.
-    presentation = system.present("n1", system.ticket("n1", "a"), timeout_s=2.0)
+    submission = system.submit("n1", system.ticket("n1", "a"), timeout_s=2.0)
     system.tick_all()
     system.actions.clear()
     system.now += 10.0
     system.tick_all()
-    assert isinstance(presentation.outcomes[0], Unknown)
+    assert isinstance(submission.outcomes[0], Unknown)
 
 
 def test_ticket_at_another_node_is_sent_to_its_home(system):
     ticket = system.ticket("n1", "a")
-    one, other = system.present("n2", ticket), system.present("n3", ticket)
+    one, other = system.submit("n2", ticket), system.submit("n3", ticket)
     system.tick_all()
-    assert _kinds(system) == [Forward, Forward]
+    assert _kinds(system) == [ForwardRequest, ForwardRequest]
     system.settle()
     assert system.runs[ticket] == 1
     assert isinstance(one.outcomes[0], Answered)
@@ -335,20 +335,20 @@
     for name in system.nodes:
         system.read_log(name)
     system.tick_all()
-    presentation = system.present("n1", system.ticket("n1", "a"))
+    submission = system.submit("n1", system.ticket("n1", "a"))
     system.settle()
-    assert isinstance(presentation.outcomes[0], Answered)
+    assert isinstance(submission.outcomes[0], Answered)
 
 
 def test_restarted_home_does_not_run_an_old_ticket(system):
     ticket = system.ticket("n1", "a")
-    system.present("n1", ticket)
+    system.submit("n1", ticket)
     system.tick_all()
     system.perform_all(RunAttempt)
     system.crash("n1")
     system.start("n1")
-    system.meet()
-    again = system.present("n1", ticket)
+    system.introduce_all()
+    again = system.submit("n1", ticket)
     system.settle()
     assert system.runs[ticket] == 1
     assert isinstance(again.outcomes[0], Unknown)
@@ -357,13 +357,13 @@
 def test_expired_ticket_is_unknown_and_never_run(system):
     # What ran under the ticket may have been forgotten.
     ticket = system.ticket("n1", "a")
-    system.present("n1", ticket)
+    system.submit("n1", ticket)
     system.settle()
     system.now += 3600.0
     for _ in range(3):
         system.now += 10.0
         system.tick_all()
-    again = system.present("n1", ticket)
+    again = system.submit("n1", ticket)
     system.tick_all()
     assert again.outcomes == [Unknown(UnknownReason.KEY_EXPIRED)]
     assert system.runs[ticket] == 1
@@ -372,11 +372,11 @@
 def test_ticket_of_a_later_epoch_is_refused(system):
     home = system.nodes["n1"].world
     ticket = f"t1.n1.{home.incarnation}.99.a"
-    presentation = system.present("n1", ticket)
+    submission = system.submit("n1", ticket)
     system.tick_all()
-    assert presentation.outcomes == []
+    assert submission.outcomes == []
     assert not system.actions
-    assert KeyMalformed.status == 400
+    assert MalformedKey.status == 400
 
 
 def _leave(system):
@@ -390,53 +390,53 @@
     # The node has handed its tickets over, and the acknowledgement is lost. It must
     # not run a ticket any more, because its successor may.
     ticket = system.ticket("n1", "a")
-    system.present("n1", system.ticket("n1", "first"))
+    system.submit("n1", system.ticket("n1", "first"))
     system.settle(2)
     _leave(system)
-    assert HandOver in _kinds(system)
-    system.perform_all(HandOver, lost=True)
+    assert SendHandover in _kinds(system)
+    system.perform_all(SendHandover, lost=True)
     successor = system.nodes["n1"].world.handover.successor
     home = system.nodes[successor].world
-    assert system.nodes["n1"].world.incarnation in home.adopted
-    system.present("n1", ticket)
+    assert system.nodes["n1"].world.incarnation in home.inherited_incarnations
+    system.submit("n1", ticket)
     system.tick_all()
-    system.present(successor, ticket)
+    system.submit(successor, ticket)
     system.settle()
     assert system.runs[ticket] <= 1
     assert not system.violations
 
 
 def test_lost_acknowledgement_is_resent_to_the_same_successor(system):
-    system.present("n1", system.ticket("n1", "first"))
+    system.submit("n1", system.ticket("n1", "first"))
     system.settle(2)
     _leave(system)
     successor = system.nodes["n1"].world.handover.successor
-    system.perform_all(HandOver, lost=True)
+    system.perform_all(SendHandover, lost=True)
     system.now += 0.5
     system.tick("n1")
-    system.perform_all(HandOver)
+    system.perform_all(SendHandover)
     system.tick("n1")
     assert system.nodes["n1"].world.me.successor == successor
     adopters = [
         node.name
         for node in system.nodes.values()
-        if system.nodes["n1"].world.incarnation in node.world.adopted
+        if system.nodes["n1"].world.incarnation in node.world.inherited_incarnations
     ]
     assert adopters == [successor]
 
 
 def test_successor_answers_for_what_ran_before_the_handover(system):
     ticket = system.ticket("n1", "first")
-    first = system.present("n1", ticket)
+    first = system.submit("n1", ticket)
     system.settle(2)
     _leave(system)
-    system.perform_all(HandOver)
+    system.perform_all(SendHandover)
     system.tick("n1")
-    system.meet()
+    system.introduce_all()
     for node in system.nodes.values():
         if node.name != "n1":
             system.gossip(node, system.nodes["n1"])
-    again = system.present("n2", ticket)
+    again = system.submit("n2", ticket)
     system.settle()
     assert system.runs[ticket] == 1
     assert again.outcomes == first.outcomes
@@ -446,10 +446,10 @@
     # A ticket was sent on to its home and got stuck on the way. Meanwhile the caller
     # asked the home itself and was told "not run". The late one must not run.
     ticket = system.ticket("n1", "a")
-    system.present("n2", ticket, timeout_s=30.0)
+    system.submit("n2", ticket, timeout_s=30.0)
     system.tick("n2")
     forward = system.actions[0]
-    system.present("n1", ticket, timeout_s=2.0)
+    system.submit("n1", ticket, timeout_s=2.0)
     system.now += 1.0
     system.tick("n1")
     for _ in range(8):
@@ -466,11 +466,11 @@
 
 
 def test_node_that_is_not_ready_does_not_say_not_run_for_a_key(system):
-    system.present("n1", "seat")
+    system.submit("n1", "seat")
     system.settle()
     system.nodes["n2"].world.me.ready = False
     system.nodes["n2"].world.streams["configuration"].caught_up = False
-    again = system.present("n2", "seat")
+    again = system.submit("n2", "seat")
     system.tick("n2")
     assert isinstance(again.outcomes[0], Unknown)
 
@@ -478,7 +478,7 @@
 def test_log_clock_set_forward_does_not_forget_claims(system):
     # The log's clock is set far forward when a claim of before is read. The node must
     # remember the claim all the same, or the key could run again.
-    system.present("n1", "seat")
+    system.submit("n1", "seat")
     system.settle()
     system.crash("n1")
     world = system.nodes["n2"].world
@@ -490,7 +490,7 @@
     system.tick("n2")
     system.now += 6.0
     system.tick("n2")
-    again = system.present("n2", "seat")
+    again = system.submit("n2", "seat")
     system.settle()
     assert system.runs["seat"] == 1
     assert isinstance(again.outcomes[0], Unknown)
@@ -499,7 +499,7 @@
 def test_successor_answers_for_a_claim_of_a_node_that_left(system):
     # A plain key was released before its home left. Presented at the successor, it
     # is claimed anew and runs.
-    system.present("n1", "seat", timeout_s=3.0)
+    system.submit("n1", "seat", timeout_s=3.0)
     _win_claim(system)
     for _ in range(8):
         for action in list(system.actions):
@@ -508,12 +508,12 @@
         system.tick("n1")
         system.now += 0.5
     _leave(system)
-    system.perform_all(HandOver)
+    system.perform_all(SendHandover)
     system.tick("n1")
     successor = system.nodes["n1"].world.handover.successor
     for name in ("n2", "n3"):
         system.gossip(system.nodes[name], system.nodes["n1"])
-    again = system.present(successor, "seat")
+    again = system.submit(successor, "seat")
     system.settle()
     assert system.runs["seat"] == 1
     assert isinstance(again.outcomes[0], Answered)
@@ -523,12 +523,12 @@
     # No more answers can be kept. A new ticket is refused, and a repetition of an
     # old one still gets its answer.
     ticket = system.ticket("n1", "old")
-    first = system.present("n1", ticket)
+    first = system.submit("n1", ticket)
     system.settle()
     world = system.nodes["n1"].world
     world.kept_answers = world.settings.limits.answers_kept
-    new = system.present("n1", system.ticket("n1", "new"))
-    again = system.present("n1", ticket)
+    new = system.submit("n1", system.ticket("n1", "new"))
+    again = system.submit("n1", ticket)
     system.tick("n1")
     assert isinstance(new.outcomes[0], NotRun)
     assert again.outcomes == first.outcomes
@@ -537,9 +537,9 @@
 
 def test_repetition_while_it_runs_joins(system):
     ticket = system.ticket("n1", "a")
-    first = system.present("n1", ticket)
+    first = system.submit("n1", ticket)
     system.tick_all()
-    again = system.present("n1", ticket)
+    again = system.submit("n1", ticket)
     system.tick_all()
     assert _kinds(system) == [RunAttempt]
     system.settle()
@@ -548,15 +548,15 @@
 
 def test_question_about_a_running_key_waits_for_its_answer(system):
     # The second node learns of the first one's claim and asks it until it has ended.
-    first = system.present("n1", "seat")
+    first = system.submit("n1", "seat")
     system.tick_all()
     system.perform_all(AppendRecord)
     for name in system.nodes:
         system.read_log(name)
     system.tick_all()
-    again = system.present("n2", "seat")
+    again = system.submit("n2", "seat")
     system.tick("n2")
-    system.perform_all(AskKey)
+    system.perform_all(QueryKey)
     system.tick("n2")
     assert again.outcomes == []
     system.settle()
--- a/poplarrelay/systems/ticketing.py
+++ b/poplarrelay/systems/ticketing.py
@@ -12,21 +12,21 @@
 
 from collections.abc import Iterator
 
-from poplarrelay.exception import KeyMalformed
-from poplarrelay.messages.convert import load_outcome, store_request
-from poplarrelay.messages.effects import Decided, Decision, Effect, Forward
+from poplarrelay.exception import MalformedKey
+from poplarrelay.messages.effects import Decision, Effect, ForwardRequest, LogDecision
+from poplarrelay.messages.encoding import decode_outcome, encode_request
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.peers import ForwardAnswered
 from poplarrelay.outcomes import NotRun, NotRunReason, Unknown, UnknownReason
 from poplarrelay.systems.concluding import conclude
-from poplarrelay.systems.homes import home_of
+from poplarrelay.systems.key_ownership import owner_of
 from poplarrelay.systems.keys import Ticket
-from poplarrelay.tables.claims import KeyState, KeyUse
+from poplarrelay.tables.claims import KeyExecution, KeyState
 from poplarrelay.tables.members import Member
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import World
 
-__all__ = ["follow_forwards", "settle_ticket"]
+__all__ = ["follow_forwards", "resolve_ticket"]
 
 #: Epochs that a ticket may be ahead of its home, since epochs are passed on late.
 EPOCHS_AHEAD = 1
@@ -34,25 +34,25 @@
 HOME_RETRY_S = 1.0
 
 
-def settle_ticket(
+def resolve_ticket(
     world: World, request: Request, ticket: Ticket, forwarded: bool, now: float
 ) -> Iterator[Effect]:
     """Run a ticket here, send it to its home, or say that it is unknown.
 
     Raises
     ------
-    KeyMalformed
+    MalformedKey
         If the ticket claims an epoch that its home has not reached.
     """
     if ticket.incarnation == world.incarnation:
         yield from _settle_own(world, request, ticket, now)
-    elif ticket.incarnation in world.adopted:
+    elif ticket.incarnation in world.inherited_incarnations:
         yield from _hold(world, request, now)
     elif forwarded:
         yield from _unreachable(world, request, now)
     else:
-        home = home_of(world, ticket.node, ticket.incarnation)
-        yield from _forward(world, request, ticket, home, now)
+        owner = owner_of(world, ticket.node, ticket.incarnation)
+        yield from _forward(world, request, ticket, owner, now)
 
 
 def _settle_own(
@@ -60,7 +60,7 @@
 ) -> Iterator[Effect]:
     age = world.epoch(now) - ticket.epoch
     if age < -EPOCHS_AHEAD:
-        raise KeyMalformed("the ticket was not issued by this system")
+        raise MalformedKey("the ticket was not issued by this system")
     if age >= world.settings.limits.ticket_epochs:
         # What ran under the ticket may have been forgotten. Running it could
         # double it, and "not run" could be false.
@@ -68,24 +68,26 @@
         yield from conclude(world, request, outcome, now)
     elif world.handover is not None:
         # The right to run this process's tickets was given up with the handover.
-        home = world.members.get(world.handover.successor)
-        yield from _forward(world, request, ticket, home, now)
+        owner = world.members.get(world.handover.successor)
+        yield from _forward(world, request, ticket, owner, now)
     else:
         yield from _hold(world, request, now)
 
 
 def _hold(world: World, request: Request, now: float) -> Iterator[Effect]:
-    key = world.keyed(request)
+    key = world.team_key(request)
     assert key is not None
-    use = world.uses.get(key)
-    if use is not None and _came_before(world, request, use.changed_at):
+    execution = world.key_executions.get(key)
+    if execution is not None and _came_before(world, request, execution.changed_at):
         # A caller was told "not run" after this request had come, perhaps to
         # another node that sent it on late. It must not run any more.
         outcome = NotRun(NotRunReason.REFUSED, HOME_RETRY_S)
         yield from conclude(world, request, outcome, now)
         return
     fingerprint = request.work.fingerprint
-    world.uses[key] = KeyUse(KeyState.OPEN, request.id, fingerprint, changed_at=now)
+    world.key_executions[key] = KeyExecution(
+        KeyState.OPEN, request.id, fingerprint, changed_at=now
+    )
 
 
 def _came_before(world: World, request: Request, at: float) -> bool:
@@ -113,20 +115,20 @@
     world: World,
     request: Request,
     ticket: Ticket,
-    home: Member | None,
+    owner: Member | None,
     now: float,
 ) -> Iterator[Effect]:
-    if home is None:
+    if owner is None:
         yield from _unreachable(world, request, now)
         return
     request.state = RequestState.ASKING
-    fields = (("request", request.id), ("forwarded_to", home.node))
-    yield Decided(Decision.ROUTE, fields)
-    yield Forward(
+    fields = (("request", request.id), ("forwarded_to", owner.node))
+    yield LogDecision(Decision.ROUTE, fields)
+    yield ForwardRequest(
         request.id,
-        home.peers,
+        owner.peers,
         ticket.incarnation,
-        store_request(request, now, home.clock),
+        encode_request(request, now, owner.clock),
         request.deadline - now,
     )
 
@@ -141,4 +143,4 @@
         if reply is None or reply.outcome is None:
             yield from _unreachable(world, request, now)
         else:
-            yield from conclude(world, request, load_outcome(reply.outcome), now)
+            yield from conclude(world, request, decode_outcome(reply.outcome), now)
--- a/poplarrelay/tables/claims.py
+++ b/poplarrelay/tables/claims.py
@@ -17,7 +17,7 @@
 from poplarrelay.messages.records import ClaimRecord
 from poplarrelay.outcomes import Outcome
 
-__all__ = ["Claim", "KeyState", "KeyUse", "TeamKey"]
+__all__ = ["Claim", "KeyExecution", "KeyState", "TeamKey"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class KeyUse:
+class KeyExecution:
     """A key that this process may run, or has run.
 
     Attributes
--- a/poplarrelay/tables/configuration.py
+++ b/poplarrelay/tables/configuration.py
@@ -9,7 +9,7 @@
 from poplarrelay.configuration.schema import Deployment, Template
 from poplarrelay.identifiers import Offset, TeamId
 
-__all__ = ["ConfigurationTable", "HistoryEntry", "InForce", "Verdict"]
+__all__ = ["ChangeResult", "ConfigurationTable", "HistoryEntry", "InForce"]
 
 #: Changes that a node remembers for operators.
 HISTORY_KEPT = 500
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class ChangeResult:
     """What the fold made of one record.
 
     Attributes
@@ -55,7 +55,7 @@
 
     offset: Offset
     subject: str
-    verdict: Verdict
+    verdict: ChangeResult
 
 
 @dataclass(slots=True)
--- a/poplarrelay/tables/copies.py
+++ b/poplarrelay/tables/copies.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from poplarrelay.identifiers import Incarnation, NodeId
-from poplarrelay.messages.gossip import StoredRequest
+from poplarrelay.messages.gossip import RequestMessage
 
 __all__ = ["HeldCopy", "SentCopy"]
 
@@ -28,9 +28,9 @@
         Whether the caller has been told that the request is accepted.
     ended, sending_ended : bool
         Whether the copy that is held, or on its way, has the outcome.
-    told : bool
+    published : bool
         Whether callers may be told the outcome.
-    doubtful : bool
+    maybe_taken_over : bool
         Whether a peer may have taken the request over, since this node was taken for
         dead.
     """
@@ -42,8 +42,8 @@
     accepted: bool = False
     ended: bool = False
     sending_ended: bool = False
-    told: bool = False
-    doubtful: bool = False
+    published: bool = False
+    maybe_taken_over: bool = False
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
     home: NodeId
     incarnation: Incarnation
     generation: int
-    request: StoredRequest
+    request: RequestMessage
     received_at: float
     ruled_out: set[NodeId] = field(default_factory=set)
     asked: set[NodeId] = field(default_factory=set)
--- a/poplarrelay/tables/leases.py
+++ b/poplarrelay/tables/leases.py
@@ -7,7 +7,7 @@
 
 from poplarrelay.identifiers import Incarnation, NodeId, Offset, RecordId
 
-__all__ = ["Duty", "Lease", "LeaseBid"]
+__all__ = ["Duty", "Lease", "LeaseRequest"]
 
 
 class Duty(Enum):
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseBid:
+class LeaseRequest:
     """A record by which this node takes or renews a duty.
 
     Attributes
--- a/poplarrelay/tables/members.py
+++ b/poplarrelay/tables/members.py
@@ -47,7 +47,7 @@
         Offset after the newest configuration record that the node has folded.
     successor : NodeId or None
         The node that took over the outcomes of one that left.
-    heard_at : float
+    last_seen_at : float
         Monotonic time of the last direct answer.
     changed_at : float
         Monotonic time of the last change of status.
@@ -68,6 +68,6 @@
     clock: float = 0.0
     configuration_next: int = 0
     successor: NodeId | None = None
-    heard_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
     changed_at: float = 0.0
     told: int = 0
--- a/poplarrelay/tables/requests.py
+++ b/poplarrelay/tables/requests.py
@@ -16,8 +16,8 @@
 
 __all__ = [
     "Attempt",
+    "MoveMethod",
     "MovePlan",
-    "MoveWay",
     "Request",
     "RequestClass",
     "RequestState",
@@ -144,7 +144,7 @@
     recomputed: int = 0
 
 
-class MoveWay(Enum):
+class MoveMethod(Enum):
     """How an attempt leaves an endpoint."""
 
     FINISH = "finish"
@@ -156,7 +156,7 @@
 class MovePlan:
     """Order to continue a running attempt elsewhere."""
 
-    way: MoveWay
+    way: MoveMethod
     successor: Attempt
 
 
--- a/poplarrelay/tables/world.py
+++ b/poplarrelay/tables/world.py
@@ -25,11 +25,11 @@
 from poplarrelay.messages.records import Record
 from poplarrelay.settings import NodeSettings
 from poplarrelay.tables.capacity import Demand
-from poplarrelay.tables.claims import Claim, KeyUse, TeamKey
+from poplarrelay.tables.claims import Claim, KeyExecution, TeamKey
 from poplarrelay.tables.configuration import ConfigurationTable
 from poplarrelay.tables.copies import HeldCopy, SentCopy
 from poplarrelay.tables.endpoints import Endpoint
-from poplarrelay.tables.leases import Lease, LeaseBid
+from poplarrelay.tables.leases import Lease, LeaseRequest
 from poplarrelay.tables.members import Member, MemberStatus
 from poplarrelay.tables.requests import Request, RequestState
 
@@ -40,7 +40,7 @@
     "NodePhase",
     "PendingChange",
     "StreamPosition",
-    "TeamUse",
+    "TeamUsage",
     "World",
 ]
 
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class TeamUse:
+class TeamUsage:
     """What a team uses of this node right now.
 
     Attributes
@@ -161,11 +161,11 @@
         Configuration records read so far by a node that has no base yet.
     leases : dict of str to Lease
         By duty, as folded from the log.
-    bids : dict of RecordId to LeaseBid
+    lease_requests : dict of RecordId to LeaseRequest
         Lease records that this node has sent.
     queue : list of RequestId
         Requests that may run and wait for an endpoint.
-    uses : dict of TeamKey to KeyUse
+    key_executions : dict of TeamKey to KeyExecution
         Keys that this process may run, or has run.
     claiming : set of RequestId
         Requests whose claim is on the way to the log.
@@ -173,11 +173,11 @@
         Requests whose key runs elsewhere, and when to ask again.
     sent_copies, held_copies : dict
         Copies of deferred requests at peers, and of peers' requests here.
-    joined : dict of RequestId to list of RequestId
+    duplicates : dict of RequestId to list of RequestId
         Requests that wait for another request's outcome.
     notified_domains : dict of DomainId to float
         Failure domains under notice, and until when they are avoided.
-    adopted : dict of Incarnation to float
+    inherited_incarnations : dict of Incarnation to float
         Incarnations that left and gave their tickets to this node, and when.
     refuse_from : float
         Monotonic time from which a leaving node takes no new requests.
@@ -201,7 +201,7 @@
     endpoints: dict[EndpointId, Endpoint] = field(default_factory=dict)
     requests: dict[RequestId, Request] = field(default_factory=dict)
     leases: dict[str, Lease] = field(default_factory=dict)
-    bids: dict[RecordId, LeaseBid] = field(default_factory=dict)
+    lease_requests: dict[RecordId, LeaseRequest] = field(default_factory=dict)
     next_bid_at: dict[str, float] = field(default_factory=dict)
     take_at: dict[str, float] = field(default_factory=dict)
     given_up: set[str] = field(default_factory=set)
@@ -211,16 +211,16 @@
     refused_starts: dict[tuple[DomainId, str], float] = field(default_factory=dict)
     queue: list[RequestId] = field(default_factory=list)
     claims: dict[TeamKey, Claim] = field(default_factory=dict)
-    uses: dict[TeamKey, KeyUse] = field(default_factory=dict)
+    key_executions: dict[TeamKey, KeyExecution] = field(default_factory=dict)
     claiming: set[RequestId] = field(default_factory=set)
     ask_again: dict[RequestId, float] = field(default_factory=dict)
     sent_copies: dict[RequestId, SentCopy] = field(default_factory=dict)
     held_copies: dict[RequestId, HeldCopy] = field(default_factory=dict)
-    joined: dict[RequestId, list[RequestId]] = field(default_factory=dict)
+    duplicates: dict[RequestId, list[RequestId]] = field(default_factory=dict)
     members: dict[NodeId, Member] = field(default_factory=dict)
-    teams: dict[TeamId, TeamUse] = field(default_factory=dict)
+    teams: dict[TeamId, TeamUsage] = field(default_factory=dict)
     notified_domains: dict[DomainId, float] = field(default_factory=dict)
-    adopted: dict[Incarnation, float] = field(default_factory=dict)
+    inherited_incarnations: dict[Incarnation, float] = field(default_factory=dict)
     handover: HandoverState | None = None
     refuse_from: float = float("inf")
     kept_answers: int = 0
@@ -233,7 +233,7 @@
     next_sweep_at: float = 0.0
     probe_round: int = 0
     sent: int = 0
-    peer_heard_at: float = float("-inf")
+    peer_last_seen_at: float = float("-inf")
     probe_ring: list[NodeId] = field(default_factory=list)
     _counter: count[int] = field(default_factory=count)
 
@@ -302,11 +302,11 @@
         """Return a record id."""
         return RecordId(f"{self.incarnation}-{next(self._counter)}")
 
-    def team_use(self, team: TeamId) -> TeamUse:
+    def team_usage(self, team: TeamId) -> TeamUsage:
         """Return the row of a team, made if there is none."""
-        return self.teams.setdefault(team, TeamUse())
+        return self.teams.setdefault(team, TeamUsage())
 
-    def keyed(self, request: Request) -> TeamKey | None:
+    def team_key(self, request: Request) -> TeamKey | None:
         """Return the request's key within its team, None if it has none."""
         if request.key is None:
             return None
