--- a/poplarrelay/testing/lists.py
+++ b/poplarrelay/testing/endpoint_lists.py
@@ -9,14 +9,25 @@
 
 import orjson
 
-from poplarrelay.entry.exchange import Answer, Hint, ListExchange, Question
-from poplarrelay.entry.listing import EndpointList
+from poplarrelay.entry.endpoint_list import EndpointList
+from poplarrelay.entry.list_exchange import (
+    ChangesReply,
+    ChangesRequest,
+    ListAnnouncement,
+    ListExchange,
+)
 from poplarrelay.entry.settings import EntrySettings
 from poplarrelay.entry.state import EntryState
 from poplarrelay.identifiers import EndpointId, Incarnation, Offset
 from poplarrelay.platform.store import KeyedRecord
 
-__all__ = ["ListNetwork", "ListNode", "Letter", "StoredTopic", "endpoint_record"]
+__all__ = [
+    "EndpointListNetwork",
+    "ListNode",
+    "Envelope",
+    "StoredTopic",
+    "endpoint_record",
+]
 
 
 def endpoint_record(state: str = "ready", **changes: Any) -> bytes:
@@ -83,12 +94,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Letter:
+class Envelope:
     """A message on its way, in the form for JSON."""
 
     sender: str
     receiver: str
-    message: Hint | Question | Answer | Reading
+    message: ListAnnouncement | ChangesRequest | ChangesReply | Reading
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,13 +131,13 @@
     """
 
     name: str
-    network: ListNetwork
+    network: EndpointListNetwork
     ahead_s: float
     state: EntryState = field(init=False)
     endpoints: EndpointList = field(init=False)
     exchange: ListExchange = field(init=False)
     reads_failed_s: float = 0.0
-    whole_reads_asked: int = 0
+    full_reads_requested: int = 0
     reads: int = 0
     pending: PendingRead | None = None
 
@@ -165,16 +176,16 @@
         )
 
     def _ask_whole(self) -> None:
-        self.whole_reads_asked += 1
+        self.full_reads_requested += 1
 
     def now(self) -> float:
         """Return the node's monotonic time."""
         return self.network.now + self.ahead_s
 
     @property
-    def fresh_at(self) -> float:
+    def confirmed_at(self) -> float:
         """Return the true time as of which the node takes its list for the store's."""
-        return self.state.freshness.fresh_at - self.ahead_s
+        return self.state.freshness.confirmed_at - self.ahead_s
 
     def read(self, answer_after_s: float = 0.0, whole: bool = False) -> None:
         """Read the store, which answers after a while."""
@@ -183,10 +194,10 @@
         self.network.now += answer_after_s
         topic = self.network.topic
         end = topic.end
-        if whole or sent_at - freshness.fresh_at > 1e6:
-            self.endpoints.take_newest(topic.newest(), end)
+        if whole or sent_at - freshness.confirmed_at > 1e6:
+            self.endpoints.apply_newest(topic.newest(), end)
         else:
-            self.endpoints.take_records(topic.since(start))
+            self.endpoints.apply_records(topic.since(start))
         freshness.note_read(sent_at, end)
 
     def uses(self, name: str) -> bool:
@@ -196,21 +207,27 @@
 
     # the sender's side
 
-    def send_hint(self, hosts: Sequence[str], hint: Hint) -> None:
+    def send_announcement(
+        self, hosts: Sequence[str], announcement: ListAnnouncement
+    ) -> None:
         """Put a hint on its way."""
-        self.network.post(self.name, hosts, hint)
+        self.network.post(self.name, hosts, announcement)
 
-    def send_reading(self, hosts: Sequence[str], hint: Hint) -> None:
+    def send_read_notice(
+        self, hosts: Sequence[str], announcement: ListAnnouncement
+    ) -> None:
         """Put the news that this node reads on its way."""
         self.network.post(self.name, hosts, Reading())
 
-    def send_question(self, hosts: Sequence[str], question: Question) -> None:
+    def send_changes_request(
+        self, hosts: Sequence[str], request: ChangesRequest
+    ) -> None:
         """Put a question on its way."""
-        self.network.post(self.name, hosts, question)
+        self.network.post(self.name, hosts, request)
 
-    def send_answer(self, host: str, answer: Answer) -> None:
+    def send_changes_reply(self, host: str, reply: ChangesReply) -> None:
         """Put an answer on its way."""
-        self.network.post(self.name, [host], answer)
+        self.network.post(self.name, [host], reply)
 
     def read_when_due(self, answer_after_s: float) -> None:
         """Begin a read that is due, and take the answer of one that has begun."""
@@ -225,24 +242,30 @@
             self.pending = PendingRead(self.now(), network.topic.end, answered_at)
             self.exchange.announce_read(self.now())
 
-    def receive(self, letter: Letter) -> None:
+    def receive(self, envelope: Envelope) -> None:
         """Take what another node sent, as decoded from its bytes."""
-        message = letter.message
+        message = envelope.message
         if isinstance(message, Reading):
-            self.exchange.hear_reading(self.now())
+            self.exchange.receive_read_notice(self.now())
             return
         raw = orjson.loads(orjson.dumps(message.encode()))
         now = self.now()
-        if isinstance(message, Hint):
-            self.exchange.hear_hint(letter.sender, Hint.decode(raw), now)
-        elif isinstance(message, Question):
-            self.exchange.hear_question(letter.sender, Question.decode(raw), now)
+        if isinstance(message, ListAnnouncement):
+            self.exchange.receive_announcement(
+                envelope.sender, ListAnnouncement.decode(raw), now
+            )
+        elif isinstance(message, ChangesRequest):
+            self.exchange.receive_changes_request(
+                envelope.sender, ChangesRequest.decode(raw), now
+            )
         else:
-            self.exchange.hear_answer(letter.sender, Answer.decode(raw), now)
+            self.exchange.receive_changes_reply(
+                envelope.sender, ChangesReply.decode(raw), now
+            )
 
 
 @dataclass(slots=True)
-class ListNetwork:
+class EndpointListNetwork:
     """Nodes, the store's topic, and what is on its way between nodes.
 
     Attributes
@@ -253,11 +276,11 @@
 
     nodes: dict[str, ListNode] = field(default_factory=dict)
     topic: StoredTopic = field(default_factory=StoredTopic)
-    letters: list[Letter] = field(default_factory=list)
+    in_transit: list[Envelope] = field(default_factory=list)
     now: float = 100.0
 
     @classmethod
-    def of(cls, count: int, rng: Random) -> ListNetwork:
+    def of(cls, count: int, rng: Random) -> EndpointListNetwork:
         """Return a network of nodes whose clocks differ by hours."""
         network = cls()
         for number in range(count):
@@ -269,19 +292,21 @@
         self,
         sender: str,
         hosts: Sequence[str],
-        message: Hint | Question | Answer | Reading,
+        message: ListAnnouncement | ChangesRequest | ChangesReply | Reading,
     ) -> None:
         """Put a message on its way to some nodes."""
-        self.letters += [Letter(sender, host, message) for host in hosts]
+        self.in_transit += [Envelope(sender, host, message) for host in hosts]
 
     def deliver(self, index: int = 0) -> None:
         """Let one message arrive."""
-        letter = self.letters.pop(index)
-        self.nodes[letter.receiver].receive(letter)
+        envelope = self.in_transit.pop(index)
+        self.nodes[envelope.receiver].receive(envelope)
 
-    def deliver_next(self, kind: type[Hint | Question | Answer]) -> None:
+    def deliver_next(
+        self, kind: type[ListAnnouncement | ChangesRequest | ChangesReply]
+    ) -> None:
         """Let the first message of a kind arrive, before all others."""
-        kinds = [type(letter.message) for letter in self.letters]
+        kinds = [type(envelope.message) for envelope in self.in_transit]
         self.deliver(kinds.index(kind))
 
     def write(self, name: str, content: bytes | None) -> None:
@@ -292,7 +317,7 @@
         self,
         seconds: float,
         step_s: float,
-        way_s: float,
+        latency_s: float,
         answer_after_s: float | None = None,
     ) -> None:
         """Let time pass, in which every message takes the same time on its way.
@@ -303,16 +328,16 @@
             Time that the store takes to answer; None lets no node read it.
         """
         end = self.now + seconds
-        due: list[tuple[float, Letter]] = []
+        due: list[tuple[float, Envelope]] = []
         while self.now < end:
             self.now += step_s
             for node in self.nodes.values():
                 if answer_after_s is not None:
                     node.read_when_due(answer_after_s)
                 node.exchange.tick(node.now())
-            due += [(self.now + way_s, letter) for letter in self.letters]
-            self.letters.clear()
-            arrived = [letter for at, letter in due if at <= self.now]
-            due = [(at, letter) for at, letter in due if at > self.now]
-            for letter in arrived:
-                self.nodes[letter.receiver].receive(letter)
+            due += [(self.now + latency_s, envelope) for envelope in self.in_transit]
+            self.in_transit.clear()
+            arrived = [envelope for at, envelope in due if at <= self.now]
+            due = [(at, envelope) for at, envelope in due if at > self.now]
+            for envelope in arrived:
+                self.nodes[envelope.receiver].receive(envelope)
--- a/poplarrelay/testing/users.py
+++ b/poplarrelay/testing/entry_site.py
@@ -26,7 +26,7 @@
 from poplarrelay.entry.settings import EntrySettings, parse_address
 from poplarrelay.standins.users.cloud import CloudStandIn
 from poplarrelay.standins.users.runner import RunnerStandIn
-from poplarrelay.standins.users.store import StoreDoor, StoreStandIn
+from poplarrelay.standins.users.store import StoreListener, StoreStandIn
 from poplarrelay.testing.links import Link
 from poplarrelay.testing.site import free_address, loopback_host
 
@@ -36,14 +36,14 @@
     "KEY",
     "STREAMS",
     "EntryProcess",
-    "UsersSite",
-    "all_named",
+    "EntrySite",
+    "entry_configuration",
     "hosts",
-    "named",
-    "play",
-    "run_users_site",
-    "until",
-    "users_configuration",
+    "poll_until",
+    "resolve_hosts",
+    "run_entry_site",
+    "run_scenario",
+    "wait_until_resolved",
 ]
 
 HOST = "desk.example"
@@ -58,7 +58,7 @@
 _NUMBERS = count(1)
 
 
-def users_configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
+def entry_configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
     """Return a configuration as an operator writes it.
 
     Parameters
@@ -138,12 +138,12 @@
     return {**value, **changes}
 
 
-def play(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run a scenario in an event loop of its own, for a minute at most."""
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-async def until(condition: Callable[[], Any], what: str = "") -> Any:
+async def poll_until(condition: Callable[[], Any], what: str = "") -> Any:
     """Wait until a condition is true and return its value."""
     end = monotonic() + PATIENCE_S
     while not (value := condition()):
@@ -183,12 +183,12 @@
 
 
 @dataclass(slots=True)
-class UsersSite:
+class EntrySite:
     """Nodes, endpoints and the platform of one test.
 
     Attributes
     ----------
-    doors : dict of str to StoreDoor
+    store_listeners : dict of str to StoreListener
         The store's address for each node.
     started : list of EntryProcess
         All processes of the test, those that were replaced included.
@@ -202,7 +202,7 @@
     store: StoreStandIn
     cloud: CloudStandIn
     nodes: dict[str, EntryNode] = field(default_factory=dict)
-    doors: dict[str, StoreDoor] = field(default_factory=dict)
+    store_listeners: dict[str, StoreListener] = field(default_factory=dict)
     runners: dict[str, RunnerStandIn] = field(default_factory=dict)
     processes: dict[str, EntryProcess] = field(default_factory=dict)
     started: list[EntryProcess] = field(default_factory=list)
@@ -214,7 +214,7 @@
     _recoveries: list[asyncio.Task[None]] = field(default_factory=list)
     _requests: count[int] = field(default_factory=lambda: count(1))
 
-    def delay_news(self, name: str, delay_s: float) -> None:
+    def delay_gossip(self, name: str, delay_s: float) -> None:
         """Let datagrams to a node wait before it reads them, as in a busy link."""
         gossip = self.nodes[name].gossip
         read = type(gossip).datagram_received
@@ -242,9 +242,9 @@
             names = ("callers", "readiness", "discovery", "control", "gossip")
             for listener in names:
                 self._ports[listener] = free_address(host).rsplit(":", 1)[1]
-        door = StoreDoor(self.store, "127.0.0.1")
-        await door.start()
-        self.doors[name] = door
+        store_listener = StoreListener(self.store, "127.0.0.1")
+        await store_listener.start()
+        self.store_listeners[name] = store_listener
         listeners: dict[str, Any] = {
             listener: f"{host}:{port}"
             for listener, port in self._ports.items()
@@ -257,7 +257,7 @@
             "listeners": listeners,
             "seeds": seeds,
             "platform": {
-                "store": self._reach(name, door.address),
+                "store": self._reach(name, store_listener.address),
                 "cloud": self.cloud.address,
             },
             "bounds": {"lease_ms": 300, "usage_window_s": 1, **changes},
@@ -283,7 +283,7 @@
         path = folder / f"{name}.json"
         path.write_bytes(orjson.dumps(value))
         started = await self.run_process(name, path)
-        await until(lambda: "ready" in started.messages(), "node process ready")
+        await poll_until(lambda: "ready" in started.messages(), "node process ready")
         return started
 
     async def start_processes(self, names: str, folder: Path) -> None:
@@ -298,7 +298,9 @@
         killed = self.processes[name]
         await killed.kill()
         restarted = await self.run_process(name, killed.path)
-        await until(lambda: "ready" in restarted.messages(), "restarted node ready")
+        await poll_until(
+            lambda: "ready" in restarted.messages(), "restarted node ready"
+        )
 
     async def run_process(self, name: str, settings: Path) -> EntryProcess:
         """Run a node's process with a settings file; its log is started anew."""
@@ -409,14 +411,16 @@
 
     def configure(self, version: int, **changes: Any) -> None:
         """Write a configuration."""
-        value = users_configuration(version, **changes)
+        value = entry_configuration(version, **changes)
         self.store.put("keyed.op", "config", value)
 
     async def ready(self, name: str = "a", endpoints: int = 0) -> None:
         """Wait until a node serves and knows a number of endpoints."""
         state = self.nodes[name].state
-        await until(lambda: state.ready, "node ready")
-        await until(lambda: len(state.endpoints.rows) >= endpoints, "endpoints listed")
+        await poll_until(lambda: state.ready, "node ready")
+        await poll_until(
+            lambda: len(state.endpoints.rows) >= endpoints, "endpoints listed"
+        )
 
     def address(self, name: str = "a", listener: str = "callers") -> tuple[str, int]:
         """Return an address of a node."""
@@ -483,17 +487,17 @@
             await process.kill()
         for runner in self.runners.values():
             runner.stop()
-        for door in self.doors.values():
-            door.stop()
+        for store_listener in self.store_listeners.values():
+            store_listener.stop()
         for link in self.links.values():
             link.stop()
         self.cloud.stop()
 
 
 @contextlib.asynccontextmanager
-async def run_users_site(nodes: int = 1, **changes: Any) -> AsyncIterator[UsersSite]:
+async def run_entry_site(nodes: int = 1, **changes: Any) -> AsyncIterator[EntrySite]:
     """Run a site with a configuration and some nodes, and end it."""
-    site = UsersSite(StoreStandIn(), CloudStandIn("127.0.0.1"))
+    site = EntrySite(StoreStandIn(), CloudStandIn("127.0.0.1"))
     await site.cloud.start()
     site.configure(1)
     seeds: list[str] = []
@@ -512,19 +516,19 @@
         return await connection.response_head()
 
 
-def hosts(site: UsersSite, *names: str) -> set[str]:
+def hosts(site: EntrySite, *names: str) -> set[str]:
     """Return the hosts of nodes."""
     return {site.nodes[name].state.me.host for name in names}
 
 
-async def named(site: UsersSite, node: str) -> set[str]:
+async def resolve_hosts(site: EntrySite, node: str) -> set[str]:
     """Return the hosts that a node names to callers."""
     answer = await site.get("discovery", "/api/resolve?name=x", node)
     return {address.split(":")[0] for address in orjson.loads(answer.body)["addresses"]}
 
 
-async def all_named(site: UsersSite, node: str, expected: set[str]) -> None:
+async def wait_until_resolved(site: EntrySite, node: str, expected: set[str]) -> None:
     """Wait until a node names just these hosts to callers."""
     async with asyncio.timeout(NAMED_S):
-        while await named(site, node) != expected:
+        while await resolve_hosts(site, node) != expected:
             await asyncio.sleep(0.02)
--- a/poplarrelay/testing/fakes.py
+++ b/poplarrelay/testing/fakes.py
@@ -19,54 +19,54 @@
     TeamId,
 )
 from poplarrelay.messages.calls import AttemptEnded, AttemptResult, RequestArrived
-from poplarrelay.messages.convert import load_work, store_outcome
 from poplarrelay.messages.effects import (
     AcceptDeferred,
     AppendRecord,
-    AskCopies,
-    AskKey,
-    AskPeers,
-    Conclude,
     Effect,
-    Forward,
-    HandOver,
-    KeepCopy,
-    Reject,
+    EndRequest,
+    ForwardRequest,
+    QueryAllPeers,
+    QueryCopies,
+    QueryKey,
+    RejectRequest,
     Reply,
     RunAttempt,
+    SendHandover,
     StopProcess,
+    StoreCopy,
 )
+from poplarrelay.messages.encoding import decode_work, encode_outcome
 from poplarrelay.messages.gossip import (
     CopyReply,
-    CopyStandings,
+    CopyStatuses,
     HandoverReply,
     KeyReply,
 )
 from poplarrelay.messages.inbox import Inbox, Message
 from poplarrelay.messages.peers import (
+    AllPeersAnswered,
     CopiesAnswered,
-    CopiesAsked,
+    CopiesQueried,
     CopyAnswered,
     CopyReceived,
     ForwardAnswered,
     HandoverAnswered,
     HandoverReceived,
     KeyAnswered,
-    KeyAsked,
-    PeersAnswered,
+    KeyQueried,
 )
 from poplarrelay.messages.platform import LogFailed, RecordsRead
-from poplarrelay.messages.questions import CallId, RequestLookedUp, ShutdownAsked
+from poplarrelay.messages.questions import CallId, LookupAsked, ShutdownAsked
 from poplarrelay.messages.records import Record, RecordValue
 from poplarrelay.outcomes import NotRun, Outcome, ServiceAnswer
 from poplarrelay.systems.concluding import outcome_tag
-from poplarrelay.systems.gossiping import merge_row, news_rows, own_row
+from poplarrelay.systems.gossiping import gossip_rows, merge_row, own_row
 from poplarrelay.systems.keys import ticket_prefix
 from poplarrelay.systems.lookups import (
     LookupElsewhere,
     LookupResult,
     SearchResult,
-    judge_search,
+    combine_search,
 )
 from poplarrelay.systems.schedule import run_tick
 from poplarrelay.tables.members import MemberStatus
@@ -81,7 +81,7 @@
     "FakeLog",
     "FakeNode",
     "FakeSystem",
-    "Presentation",
+    "Submission",
 ]
 
 
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True)
-class Presentation:
+class Submission:
     """A request as its caller sees it."""
 
     number: int
@@ -192,7 +192,7 @@
         self.runs: Counter[str] = Counter()
         self.forbidden: dict[str, int] = {}
         self.violations: list[str] = []
-        self.presentations: dict[RequestId, Presentation] = {}
+        self.submissions: dict[RequestId, Submission] = {}
         self.answered = 0
         self.deferrals: dict[RequestId, Deferral] = {}
         self._numbers = itertools.count(1)
@@ -202,7 +202,7 @@
         self._origins: dict[RequestId, tuple[FakeNode, RequestId]] = {}
         for name in names:
             self.start(name)
-        self.meet()
+        self.introduce_all()
 
     # -- life of nodes -----------------------------------------------------
 
@@ -213,7 +213,7 @@
         world = make_world(name, index, incarnation, self.now)
         self.nodes[name] = FakeNode(name, world)
 
-    def meet(self) -> None:
+    def introduce_all(self) -> None:
         """Let all nodes that answer know each other."""
         for one in self.nodes.values():
             for other in self.nodes.values():
@@ -223,7 +223,7 @@
     def gossip(self, one: FakeNode, other: FakeNode) -> None:
         """Let a node hear the newest of another, and all that it knows."""
         merge_row(one.world, own_row(other.world, self.now), self.now)
-        for row in news_rows(other.world, full=True):
+        for row in gossip_rows(other.world, full=True):
             merge_row(one.world, row, self.now)
 
     def crash(self, name: str) -> None:
@@ -270,13 +270,13 @@
         prefix = ticket_prefix(world.node, world.incarnation, world.epoch(self.now))
         return f"{prefix}.{nonce}"
 
-    def present(self, name: str, key: str, timeout_s: float = 8.0) -> Presentation:
+    def submit(self, name: str, key: str, timeout_s: float = 8.0) -> Submission:
         """Bring a booking to a node."""
         node = self.nodes[name]
         number = next(self._numbers)
-        presentation = Presentation(number, key, name)
+        submission = Submission(number, key, name)
         request = RequestId(f"r.{name}.{node.world.incarnation}.{number}")
-        self.presentations[request] = presentation
+        self.submissions[request] = submission
         work = Work(WorkKind.SERVICE, "booking", path="/confirm", fingerprint=key)
         self._bring(
             node,
@@ -290,7 +290,7 @@
                 key=IdempotencyKey(key),
             ),
         )
-        return presentation
+        return submission
 
     def defer(
         self, name: str, repeatable: bool = True, key: str | None = None
@@ -339,14 +339,14 @@
             if isinstance(answer, LookupResult) and not answer.copy:
                 return self._word(answer)
             copies = copies or isinstance(answer, LookupResult)
-        return judge_search(found, copies, silent).value
+        return combine_search(found, copies, silent).value
 
     def _ask(self, name: str, request: RequestId, forwarded: bool) -> object:
         node = self.nodes[name]
         call = CallId(next(self._calls))
         token = hash_token(team_token(TEAM))
         team = TeamId(TEAM) if forwarded else None
-        node.inbox.append(RequestLookedUp(call, token, request, team, forwarded))
+        node.inbox.append(LookupAsked(call, token, request, team, forwarded))
         self.tick(name)
         return self._replies.pop(call)
 
@@ -407,39 +407,39 @@
         match effect:
             case Reply():
                 self._replies[effect.call] = effect.value
-            case Conclude():
+            case EndRequest():
                 self._conclude(node, effect)
             case AcceptDeferred():
                 self._accept(node, effect)
-            case Reject():
+            case RejectRequest():
                 self._origins.pop(effect.request, None)
             case StopProcess():
                 node.dead = True
             case (
                 AppendRecord()
-                | AskKey()
-                | AskPeers()
-                | Forward()
+                | QueryKey()
+                | QueryAllPeers()
+                | ForwardRequest()
                 | RunAttempt()
-                | HandOver()
-                | KeepCopy()
-                | AskCopies()
+                | SendHandover()
+                | StoreCopy()
+                | QueryCopies()
             ):
                 self.actions.append(Action(node, effect))
 
-    def _conclude(self, node: FakeNode, effect: Conclude) -> None:
+    def _conclude(self, node: FakeNode, effect: EndRequest) -> None:
         origin = self._origins.pop(effect.request, None)
         if origin is not None:
             asker, request = origin
-            reply = KeyReply(state="finished", outcome=store_outcome(effect.outcome))
+            reply = KeyReply(state="finished", outcome=encode_outcome(effect.outcome))
             asker.inbox.append(ForwardAnswered(request, True, reply))
             return
-        presentation = self.presentations.get(effect.request)
-        if presentation is None:
+        submission = self.submissions.get(effect.request)
+        if submission is None:
             return
-        presentation.outcomes.append(effect.outcome)
+        submission.outcomes.append(effect.outcome)
         if isinstance(effect.outcome, NotRun):
-            self._told_not_run(presentation)
+            self._told_not_run(submission)
 
     def _accept(self, node: FakeNode, effect: AcceptDeferred) -> None:
         deferral = self.deferrals[effect.request]
@@ -447,11 +447,11 @@
         copy = node.world.sent_copies[effect.request]
         deferral.copied = copy.holder is not None
 
-    def _told_not_run(self, presentation: Presentation) -> None:
-        key = presentation.key
+    def _told_not_run(self, submission: Submission) -> None:
+        key = submission.key
         if self.runs[key]:
             self.violations.append(f"{key}: told not run after it ran")
-        newest = max(p.number for p in self.presentations.values() if p.key == key)
+        newest = max(p.number for p in self.submissions.values() if p.key == key)
         self.forbidden[key] = max(self.forbidden.get(key, 0), newest)
 
     def perform(self, action: Action, lost: bool = False) -> None:
@@ -471,20 +471,20 @@
         match effect:
             case AppendRecord():
                 self._append(action, effect, lost)
-            case AskKey():
-                self._ask_key(action.node, effect, lost)
-            case AskPeers():
-                self._ask_peers(action.node, effect, lost)
-            case Forward():
+            case QueryKey():
+                self._query_key(action.node, effect, lost)
+            case QueryAllPeers():
+                self._query_all_peers(action.node, effect, lost)
+            case ForwardRequest():
                 self._forward(action.node, effect, lost)
             case RunAttempt():
                 self._run(action.node, effect, lost)
-            case HandOver():
-                self._hand_over(action.node, effect, lost)
-            case KeepCopy():
-                self._keep_copy(action.node, effect, lost)
-            case AskCopies():
-                self._ask_copies(action.node, effect, lost)
+            case SendHandover():
+                self._send_handover(action.node, effect, lost)
+            case StoreCopy():
+                self._store_copy(action.node, effect, lost)
+            case QueryCopies():
+                self._query_copies(action.node, effect, lost)
 
     def _append(self, action: Action, effect: AppendRecord, lost: bool) -> None:
         if self.now >= effect.until:
@@ -511,22 +511,24 @@
         self.tick(node.name)
         return self._replies.pop(call, None)
 
-    def _ask_key(self, node: FakeNode, effect: AskKey, lost: bool) -> None:
-        reply = self._call(effect.peer, lambda call: KeyAsked(call, effect.question))
+    def _query_key(self, node: FakeNode, effect: QueryKey, lost: bool) -> None:
+        reply = self._call(effect.peer, lambda call: KeyQueried(call, effect.query))
         answer = reply if isinstance(reply, KeyReply) and not lost else None
         node.inbox.append(KeyAnswered(effect.request, answer))
 
-    def _ask_peers(self, node: FakeNode, effect: AskPeers, lost: bool) -> None:
+    def _query_all_peers(
+        self, node: FakeNode, effect: QueryAllPeers, lost: bool
+    ) -> None:
         replies = [
-            self._call(peer, lambda call: KeyAsked(call, effect.question))
+            self._call(peer, lambda call: KeyQueried(call, effect.query))
             for peer in effect.peers
         ]
         absent = not lost and all(
             isinstance(reply, KeyReply) and reply.state == "absent" for reply in replies
         )
-        node.inbox.append(PeersAnswered(effect.request, absent))
+        node.inbox.append(AllPeersAnswered(effect.request, absent))
 
-    def _forward(self, node: FakeNode, effect: Forward, lost: bool) -> None:
+    def _forward(self, node: FakeNode, effect: ForwardRequest, lost: bool) -> None:
         home = self._at(effect.peer)
         unanswered = ForwardAnswered(effect.request, False)
         if home is None or home.dead:
@@ -534,11 +536,9 @@
             return
         stored = effect.stored
         request = RequestId(f"{effect.request}~{next(self._calls)}")
-        origin = self.presentations.get(effect.request)
+        origin = self.submissions.get(effect.request)
         if origin is not None:
-            self.presentations[request] = Presentation(
-                origin.number, origin.key, home.name
-            )
+            self.submissions[request] = Submission(origin.number, origin.key, home.name)
         if home.frozen or lost:
             node.inbox.append(unanswered)
         else:
@@ -548,7 +548,7 @@
             RequestArrived(
                 id=request,
                 token_sha256="",
-                work=load_work(stored),
+                work=decode_work(stored),
                 request_class=RequestClass(stored.request_class),
                 timeout_s=stored.remaining_s,
                 received=self.now,
@@ -570,19 +570,19 @@
         if deferral is not None:
             deferral.runs += 1
         else:
-            self._note_run(self.presentations[attempt.request])
+            self._note_run(self.submissions[attempt.request])
         result = AttemptResult.BROKEN if lost else AttemptResult.FINISHED
         answer = None if lost else ServiceAnswer(200, "text/plain", b"confirmed")
         node.inbox.append(
             AttemptEnded(attempt.request, attempt.id, result, service=answer)
         )
 
-    def _note_run(self, presentation: Presentation) -> None:
-        key = presentation.key
+    def _note_run(self, submission: Submission) -> None:
+        key = submission.key
         self.runs[key] += 1
         if self.runs[key] > 1:
             self.violations.append(f"{key}: ran {self.runs[key]} times")
-        if presentation.number <= self.forbidden.get(key, 0):
+        if submission.number <= self.forbidden.get(key, 0):
             self.violations.append(f"{key}: ran after it was told not run")
 
     def refuse_attempt(self, action: Action) -> None:
@@ -593,23 +593,23 @@
         ended = AttemptEnded(attempt.request, attempt.id, AttemptResult.NOT_STARTED)
         action.node.inbox.append(ended)
 
-    def _hand_over(self, node: FakeNode, effect: HandOver, lost: bool) -> None:
+    def _send_handover(self, node: FakeNode, effect: SendHandover, lost: bool) -> None:
         message = effect.message
         reply = self._call(effect.peer, lambda call: HandoverReceived(call, message))
         answer = reply if isinstance(reply, HandoverReply) and not lost else None
         node.inbox.append(HandoverAnswered(effect.node, message.id, answer))
 
-    def _keep_copy(self, node: FakeNode, effect: KeepCopy, lost: bool) -> None:
+    def _store_copy(self, node: FakeNode, effect: StoreCopy, lost: bool) -> None:
         message = effect.message
         reply = self._call(effect.peer, lambda call: CopyReceived(call, message))
         answer = reply if isinstance(reply, CopyReply) and not lost else None
         node.inbox.append(CopyAnswered(effect.request, answer))
 
-    def _ask_copies(self, node: FakeNode, effect: AskCopies, lost: bool) -> None:
-        inquiry = effect.inquiry
-        reply = self._call(effect.peer, lambda call: CopiesAsked(call, inquiry))
-        answer = reply if isinstance(reply, CopyStandings) and not lost else None
-        requests = tuple(RequestId(request) for request in inquiry.requests)
+    def _query_copies(self, node: FakeNode, effect: QueryCopies, lost: bool) -> None:
+        query = effect.query
+        reply = self._call(effect.peer, lambda call: CopiesQueried(call, query))
+        answer = reply if isinstance(reply, CopyStatuses) and not lost else None
+        requests = tuple(RequestId(request) for request in query.requests)
         node.inbox.append(CopiesAnswered(effect.node, requests, answer))
 
     # -- running on --------------------------------------------------------
--- a/poplarrelay/testing/network.py
+++ b/poplarrelay/testing/network.py
@@ -10,9 +10,9 @@
 from poplarrelay.entry.configuration import ConfigurationVersion
 from poplarrelay.entry.crashes import CrashTable
 from poplarrelay.entry.gossip import Gossip
+from poplarrelay.entry.peer_rows import NodeState, PeerRow
 from poplarrelay.entry.peers import PeerTable
 from poplarrelay.entry.process import GOSSIP_S, TICK_S
-from poplarrelay.entry.rows import NodeState, PeerRow
 from poplarrelay.identifiers import DomainId, Incarnation, NodeId, TeamId
 
 __all__ = ["USE_PER_S", "Network"]
@@ -30,7 +30,7 @@
 
     own = 1_764_720_000.0
 
-    def hear(self, *args: object) -> None:
+    def receive(self, *args: object) -> None:
         """Take nothing."""
 
 
@@ -95,7 +95,7 @@
         self.nodes[row.host] = node
         self.tables[row.host] = table
         self.crashes[row.host] = CrashTable()
-        node.carry_crashes(self.crashes[row.host])
+        node.attach_crashes(self.crashes[row.host])
         self._due[row.host] = self.now + GOSSIP_S * self.rng.random()
         return row.host
 
@@ -126,7 +126,7 @@
                 self._due[host] = self.now + GOSSIP_S * (0.9 + 0.2 * self.rng.random())
                 self._round(host)
             elif self.crashes[host].urgent:
-                node.tell_crashes()
+                node.send_crashes()
 
     def _round(self, host: str) -> None:
         table = self.tables[host]
--- a/poplarrelay/testing/permits.py
+++ b/poplarrelay/testing/permits.py
@@ -14,7 +14,7 @@
 from poplarrelay.entry.rate_limits import StatedLimit
 from poplarrelay.identifiers import DomainId, EndpointId, NodeId
 
-__all__ = ["ENDPOINT", "WINDOW_S", "PermitNetwork", "allowed", "most_in_window"]
+__all__ = ["ENDPOINT", "WINDOW_S", "PermitNetwork", "allowed", "max_in_window"]
 
 ENDPOINT = EndpointId("e")
 STEP_S = 0.01
@@ -24,7 +24,7 @@
 WINDOW_S = 4.0
 
 
-def most_in_window(times: Sequence[float], start: float = -inf) -> int:
+def max_in_window(times: Sequence[float], start: float = -inf) -> int:
     """Return the largest number of times within a window that begins after a start."""
     late = [at for at in times if at >= start]
     return max(
@@ -107,7 +107,7 @@
             self.rows[host], StatedLimit(per_s), self.now
         )
 
-    def cut_into(self, *groups: set[str]) -> None:
+    def partition_into(self, *groups: set[str]) -> None:
         """Cut groups of hosts off from each other, detected by each node in turn."""
         self.groups = list(groups)
         for group in groups:
@@ -130,7 +130,7 @@
                 self._live[entry[1]] = entry[2]
             batch, self._queue = self._queue, []
             for sender, target, messages in batch:
-                self.brokers[target].hear(sender, messages)
+                self.brokers[target].receive(sender, messages)
             for host in {host for group in self.groups for host in group}:
                 self._send_requests(host)
             yield
@@ -141,7 +141,7 @@
             return
         self.brokers[host].prepare([row], self.now)
         while row.free:
-            row.take_place()
+            row.acquire_slot()
             row.running = 0
             self.sent[host].append(self.now)
 
--- a/poplarrelay/testing/reading.py
+++ b/poplarrelay/testing/prefill_simulation.py
@@ -11,16 +11,16 @@
 from poplarrelay.entry.backlogs import BacklogTable, Placement, PromptEnd
 from poplarrelay.entry.choosing import (
     Choice,
-    Wish,
+    SelectionCriteria,
     choose_candidate,
-    draw_candidates,
+    sample_candidates,
 )
 from poplarrelay.entry.configuration import ServiceName
 from poplarrelay.entry.endpoints import Endpoint
 from poplarrelay.entry.requests import PromptPart
 from poplarrelay.identifiers import DomainId, EndpointId, RequestId
 
-__all__ = ["PlayedPrompt", "ReadingSite"]
+__all__ = ["PrefillSimulation", "SimulatedPrompt"]
 
 #: Seconds between a prompt's first event and its last.
 STREAM_S = 0.4
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedPrompt:
+class SimulatedPrompt:
     """What became of a prompt.
 
     Attributes
@@ -51,11 +51,11 @@
 class _Engine:
     speed: float
     free_at: float = 0.0
-    kept: set[str] = field(default_factory=set)
+    cached_parts: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class ReadingSite:
+class PrefillSimulation:
     """Nodes in front of engines, in virtual time.
 
     Attributes
@@ -74,16 +74,16 @@
     asks: bool
     seed: int
     admits: Callable[[Choice], bool] | None = None
-    played: list[PlayedPrompt] = field(default_factory=list)
+    simulated: list[SimulatedPrompt] = field(default_factory=list)
     _tables: list[list[Endpoint]] = field(default_factory=list)
-    _keeper: BacklogTable = field(default_factory=BacklogTable)
+    _coordinator: BacklogTable = field(default_factory=BacklogTable)
     _engines: dict[EndpointId, _Engine] = field(default_factory=dict)
     _events: list[tuple[float, int, Callable[[float], None]]] = field(
         default_factory=list
     )
     _number: count[int] = field(default_factory=count)
 
-    def play(self, seconds: float, per_s: float, tokens: int, shared: int) -> None:
+    def run(self, seconds: float, per_s: float, tokens: int, shared: int) -> None:
         """Have prompts come for some time, and play it to its end.
 
         Parameters
@@ -134,16 +134,22 @@
         def arrive(now: float) -> None:
             shared = prefix[0]
             whole = sum(part.tokens for part in prefix)
-            wish = Wish(shared.part, whole, shared.tokens, (), DomainId("d"))
-            drawn = draw_candidates(self._tables[node], wish, now, rng)
-            kept = {}
+            criteria = SelectionCriteria(
+                shared.part, whole, shared.tokens, (), DomainId("d")
+            )
+            drawn = sample_candidates(self._tables[node], criteria, now, rng)
+            cached_tokens = {}
             for row in drawn if self.asks else ():
-                view = self._keeper.view(f"n{node}", row.endpoint, [shared.part], now)
-                row.hear_backlog(view.tokens, view.speed, now)
-                kept[row.endpoint] = view.kept_tokens(prefix)
-            choice = choose_candidate(drawn, wish, kept, now) if drawn else None
+                view = self._coordinator.view(
+                    f"n{node}", row.endpoint, [shared.part], now
+                )
+                row.update_backlog(view.tokens, view.speed, now)
+                cached_tokens[row.endpoint] = view.cached_tokens_at(prefix)
+            choice = (
+                choose_candidate(drawn, criteria, cached_tokens, now) if drawn else None
+            )
             if choice is None or (self.admits is not None and not self.admits(choice)):
-                self.played.append(PlayedPrompt(now, whole, None))
+                self.simulated.append(SimulatedPrompt(now, whole, None))
                 return
             self._send(node, choice, shared, whole, now)
 
@@ -154,21 +160,21 @@
     ) -> None:
         row = choice.endpoint
         engine = self._engines[row.endpoint]
-        unread = whole - (shared.tokens if shared.part in engine.kept else 0)
-        engine.kept.add(shared.part)
+        unread = whole - (shared.tokens if shared.part in engine.cached_parts else 0)
+        engine.cached_parts.add(shared.part)
         request = RequestId(f"r{next(self._number)}")
         name, told = f"n{node}", choice.unread_tokens
         row.running += 1
         row.prefill_tokens += told
         placed = Placement(row.endpoint, request, told, (shared.part,), whole)
-        self._keeper.place(name, placed, now)
+        self._coordinator.add_prompt(name, placed, now)
         engine.free_at = max(now, engine.free_at) + unread / engine.speed
         begins_at = engine.free_at + STEP_S
 
         def begin(at: float) -> None:
             row.prefill_tokens -= told
-            self._keeper.take_out(row.endpoint, request, PromptEnd.BEGAN, at)
-            self.played.append(PlayedPrompt(now, whole, at - now))
+            self._coordinator.remove_prompt(row.endpoint, request, PromptEnd.BEGAN, at)
+            self.simulated.append(SimulatedPrompt(now, whole, at - now))
 
         def end(at: float) -> None:
             row.running -= 1
--- a/poplarrelay/testing/processes.py
+++ b/poplarrelay/testing/processes.py
@@ -22,7 +22,7 @@
 
 from poplarrelay.client import CallerClient
 from poplarrelay.exception import PoplarrelayError
-from poplarrelay.providers.http import CallFailed, JsonCaller
+from poplarrelay.providers.http import CallFailed, JsonHttpClient
 from poplarrelay.testing.site import (
     Site,
     SiteEndpoint,
@@ -128,7 +128,7 @@
 
     site: Site
     folder: Path
-    caller: JsonCaller
+    http_client: JsonHttpClient
     nodes: dict[str, Process] = field(default_factory=dict)
     endpoints: dict[str, Process] = field(default_factory=dict)
     standins: dict[str, Process] = field(default_factory=dict)
@@ -197,18 +197,18 @@
     def get(self, address: str, path: str) -> Any:
         """Return the JSON at a path, None if there is no good answer."""
         try:
-            reply = self.caller.call("GET", address, path)
+            reply = self.http_client.call("GET", address, path)
         except CallFailed:
             return None
         return reply.value if reply.ok else None
 
     def put(self, address: str, path: str, value: Any) -> None:
         """Put JSON at a path."""
-        self.caller.call("PUT", address, path, value, timeout_s=5.0)
+        self.http_client.call("PUT", address, path, value, timeout_s=5.0)
 
     def post(self, address: str, path: str, value: Any) -> Any:
         """Post JSON to a path and return the answer."""
-        return self.caller.call("POST", address, path, value, timeout_s=15.0).value
+        return self.http_client.call("POST", address, path, value, timeout_s=15.0).value
 
     def faults(self, name: str, **faults: Any) -> None:
         """Set the faults of a stand-in; none of the others stay."""
@@ -256,7 +256,7 @@
 
     def delist(self, endpoint: str) -> None:
         """Take an endpoint off the host list."""
-        self.caller.call("DELETE", self.platform["hosts"], f"/hosts/{endpoint}")
+        self.http_client.call("DELETE", self.platform["hosts"], f"/hosts/{endpoint}")
 
     def runs(self) -> dict[str, int]:
         """Return how often each call ran at the plain services that live."""
@@ -421,7 +421,7 @@
         Whether to start the nodes, publish and wait until all is ready.
     """
     with tempfile.TemporaryDirectory(prefix="poplarrelay-") as folder:
-        running = RunningSite(site, Path(folder), JsonCaller(1.0))
+        running = RunningSite(site, Path(folder), JsonHttpClient(1.0))
         running.settings_changes = settings or {}
         if command is not None:
             running.command = command
--- a/poplarrelay/testing/cases.py
+++ b/poplarrelay/testing/request_contexts.py
@@ -6,7 +6,6 @@
 from unittest.mock import Mock
 
 from poplarrelay.entry.attempts import StreamProgress
-from poplarrelay.entry.case import Case
 from poplarrelay.entry.configuration import (
     ConfigurationVersion,
     Route,
@@ -14,10 +13,11 @@
     ServiceName,
     ServiceShare,
 )
+from poplarrelay.entry.request_context import RequestContext
 from poplarrelay.entry.requests import CallerRequest
 from poplarrelay.identifiers import RequestId
 
-__all__ = ["make_case", "make_route"]
+__all__ = ["make_request_context", "make_route"]
 
 
 def make_route(
@@ -28,7 +28,7 @@
     return Route("look", "desk.example", "/look/", kind, 1.5, target_s, 1, (share,))
 
 
-def make_case(service: str, patience_s: float = 1.5) -> Case:
+def make_request_context(service: str, patience_s: float = 1.5) -> RequestContext:
     """Return an admitted request that has just arrived."""
     now = monotonic()
     request = CallerRequest(
@@ -42,7 +42,7 @@
         passed_headers=[],
         started_at=now,
     )
-    return Case(
+    return RequestContext(
         request=request,
         exchange=Mock(),
         route=make_route(service),
@@ -52,6 +52,6 @@
         until=now + patience_s,
         version=ConfigurationVersion(1),
         progress=StreamProgress(None),
-        knows_keys=False,
+        teams_configured=False,
         fingerprint=request.fingerprint(None),
     )
--- a/poplarrelay/testing/rows.py
+++ b/poplarrelay/testing/rows.py
@@ -6,7 +6,7 @@
 
 from poplarrelay.entry.cells import Cell, CellSummary, Member
 from poplarrelay.entry.configuration import ConfigurationVersion
-from poplarrelay.entry.rows import NodeState, PeerRow
+from poplarrelay.entry.peer_rows import NodeState, PeerRow
 from poplarrelay.identifiers import DomainId, Incarnation, NodeId
 from poplarrelay.testing.network import Network
 
@@ -27,14 +27,14 @@
 
 
 def make_summary(
-    cell: Cell, speaker: str, version: int, hosts: Sequence[str]
+    cell: Cell, representative: str, version: int, hosts: Sequence[str]
 ) -> CellSummary:
     """Return what a speaker tells of ready nodes that have done nothing."""
     ready, configuration = NodeState.READY, ConfigurationVersion(1)
     return CellSummary(
         cell=cell,
-        speaker=NodeId(speaker),
-        incarnation=Incarnation(f"0000000000001-{speaker}"),
+        representative=NodeId(representative),
+        incarnation=Incarnation(f"0000000000001-{representative}"),
         version=version,
         epoch=0,
         started_ms=1,
--- a/poplarrelay/testing/site.py
+++ b/poplarrelay/testing/site.py
@@ -10,7 +10,7 @@
 from pydantic import Field
 
 from poplarrelay.configuration.schema import ConfigurationFile, Name
-from poplarrelay.settings import StrictModel, load_model
+from poplarrelay.settings import StrictModel, load_json_file
 
 __all__ = [
     "Site",
@@ -87,7 +87,7 @@
         SettingsError
             With every fault of the file.
         """
-        return load_model(cls, path)
+        return load_json_file(cls, path)
 
 
 def hash_token(token: str) -> str:
--- a/poplarrelay/testing/soak/callers.py
+++ b/poplarrelay/testing/soak/callers.py
@@ -12,8 +12,8 @@
 
 from poplarrelay.entry.http.connection import Connection, Headers
 from poplarrelay.exception import ExchangeFailed
+from poplarrelay.testing.entry_site import HOST, EntrySite
 from poplarrelay.testing.soak.ledger import Asked, Ending
-from poplarrelay.testing.users import HOST, UsersSite
 
 __all__ = ["KEYS", "Caller"]
 
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    site : UsersSite
+    site : EntrySite
         The nodes.
     asked : list of Asked
         Gets each request that is sent.
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        site: UsersSite,
+        site: EntrySite,
         asked: list[Asked],
         paused: Callable[[str, float], bool],
         rng: Random,
@@ -140,7 +140,7 @@
             raise
 
 
-async def configuration_of(site: UsersSite, node: str) -> int:
+async def configuration_of(site: EntrySite, node: str) -> int:
     """Return the version that a node says it goes by, 0 if it does not answer."""
     try:
         answer = await site.get("control", "/status", node)
--- a/poplarrelay/testing/soak/ledger.py
+++ b/poplarrelay/testing/soak/ledger.py
@@ -13,7 +13,7 @@
 __all__ = [
     "Asked",
     "Ending",
-    "Promise",
+    "Invariant",
     "Violation",
     "check_duties",
     "check_requests",
@@ -24,7 +24,7 @@
 NOT_RUN = frozenset((408, 421, 429, 503))
 
 
-class Promise(Enum):
+class Invariant(Enum):
     """What must hold whatever fails."""
 
     AT_MOST_ONCE = "work that must not be repeated runs at most once"
@@ -84,7 +84,7 @@
 class Violation:
     """A promise that did not hold."""
 
-    promise: Promise
+    invariant: Invariant
     what: str
 
 
@@ -124,18 +124,18 @@
     sent = asked.get(received.attempt)
     if sent is None:
         what = f"{received.method} {received.target}: id {received.attempt!r}"
-        return [Violation(Promise.NOTHING_INVENTED, f"nobody sent {what}")]
+        return [Violation(Invariant.NOTHING_INVENTED, f"nobody sent {what}")]
     found = []
     team = received.headers.get("x-poplarrelay-tenant")
     if team != sent.team:
         what = f"{sent.request} of {sent.team} came as {team}"
-        found.append(Violation(Promise.NOTHING_INVENTED, what))
+        found.append(Violation(Invariant.NOTHING_INVENTED, what))
     if received.body != sent.request_body or sent.kind not in received.target:
         what = f"{sent.request} came as {received.target} {received.body[:60]!r}"
-        found.append(Violation(Promise.NOTHING_INVENTED, what))
+        found.append(Violation(Invariant.NOTHING_INVENTED, what))
     if any(key in value for key in keys for value in received.headers.values()):
         what = f"{sent.request} was passed on with a key"
-        found.append(Violation(Promise.NOTHING_INVENTED, what))
+        found.append(Violation(Invariant.NOTHING_INVENTED, what))
     return found
 
 
@@ -145,17 +145,17 @@
     found = []
     name = f"{asked.request} ({asked.kind} at {asked.node})"
     if not asked.repeatable and len(ran) > 1:
-        found.append(Violation(Promise.AT_MOST_ONCE, f"{name} ran at {ran}"))
+        found.append(Violation(Invariant.AT_MOST_ONCE, f"{name} ran at {ran}"))
     if not asked.repeatable and asked.status in NOT_RUN and ran:
         what = f"{name} got {asked.status} and ran at {ran}"
-        found.append(Violation(Promise.NOT_RUN_IS_TRUE, what))
+        found.append(Violation(Invariant.NOT_RUN_IS_TRUE, what))
     if asked.ending is Ending.STILL_OPEN and not asked.disturbed:
-        found.append(Violation(Promise.ENDS_IN_TIME, name))
+        found.append(Violation(Invariant.ENDS_IN_TIME, name))
     if asked.ending is Ending.ANSWERED and asked.status == 200:
         possible = [_answers(asked, runners[endpoint]) for endpoint in ran]
         if not any(asked.body in bodies for bodies in possible):
             what = f"{name} got {asked.body[:80]!r}, ran at {ran}"
-            found.append(Violation(Promise.OWN_WHOLE_ANSWER, what))
+            found.append(Violation(Invariant.OWN_WHOLE_ANSWER, what))
     return found
 
 
@@ -177,14 +177,14 @@
         holder = holders.setdefault((call.subject, call.token), call.holder)
         if holder != call.holder:
             what = f"token {call.token} of {holder} and {call.holder}: {call.subject}"
-            found.append(Violation(Promise.ONE_HOLDER, what))
+            found.append(Violation(Invariant.ONE_HOLDER, what))
         if call.subject != "usage":
             continue
         window = call.value["windowId"]
         known = counts.setdefault(window, call.value["counts"])
         if known != call.value["counts"]:
             what = f"window {window}: {known}, then {call.value['counts']}"
-            found.append(Violation(Promise.ONE_REPORT, what))
+            found.append(Violation(Invariant.ONE_REPORT, what))
     return found
 
 
--- a/poplarrelay/testing/soak/run.py
+++ b/poplarrelay/testing/soak/run.py
@@ -17,22 +17,27 @@
 
 import orjson
 
-from poplarrelay.entry.dutying import GROUP
+from poplarrelay.entry.duty_worker import GROUP
 from poplarrelay.standins.users.cloud import CloudStandIn
 from poplarrelay.standins.users.runner import Fault, RunnerStandIn
 from poplarrelay.standins.users.store import Outage, StoreStandIn
+from poplarrelay.testing.entry_site import (
+    CALLS,
+    STREAMS,
+    EntrySite,
+    entry_configuration,
+)
 from poplarrelay.testing.links import LinkState
 from poplarrelay.testing.soak.callers import KEYS, KINDS, Caller, configuration_of
 from poplarrelay.testing.soak.ledger import (
     Asked,
-    Promise,
+    Invariant,
     Violation,
     check_duties,
     check_requests,
     summary,
 )
 from poplarrelay.testing.soak.plan import FaultKind, PlannedFault, draw_plan
-from poplarrelay.testing.users import CALLS, STREAMS, UsersSite, users_configuration
 
 __all__ = ["SoakReport", "SoakRun", "SoakSize", "soak"]
 
@@ -120,7 +125,7 @@
         Pending and completed restarts of crashed endpoints.
     """
 
-    site: UsersSite
+    site: EntrySite
     size: SoakSize
     rng: Random
     folder: Path
@@ -167,7 +172,7 @@
         """Publish the next configuration; its routes stay the same."""
         self.version += 1
         teams = [{"name": team, "apiKeys": [key]} for team, key in KEYS.items()]
-        value = users_configuration(self.version, tenants=teams)
+        value = entry_configuration(self.version, tenants=teams)
         self.site.store.put("keyed.op", "config", value)
 
     async def add_endpoint(self, service: str) -> None:
@@ -279,26 +284,26 @@
         self.site.links[draw.choice(sorted(self.site.links))].reset()
 
     async def _store_outage(self, draw: Random, for_s: float) -> None:
-        doors = sorted(self.site.doors)
-        struck = draw.sample(doors, draw.randint(1, len(doors)))
+        store_listeners = sorted(self.site.store_listeners)
+        struck = draw.sample(store_listeners, draw.randint(1, len(store_listeners)))
         outage = draw.choice(_OUTAGES)
         for name in struck:
-            self.site.doors[name].outage = outage
+            self.site.store_listeners[name].outage = outage
         await asyncio.sleep(for_s)
         for name in struck:
-            self.site.doors[name].outage = Outage.NONE
+            self.site.store_listeners[name].outage = Outage.NONE
 
     async def _store_loses(self, draw: Random, for_s: float) -> None:
-        door = self.site.doors[self._node(draw)]
-        door.lose_answers = True
+        store_listener = self.site.store_listeners[self._node(draw)]
+        store_listener.lose_answers = True
         await asyncio.sleep(for_s)
-        door.lose_answers = False
+        store_listener.lose_answers = False
 
     async def _store_forgets(self, draw: Random, for_s: float) -> None:
         self.site.store.compact(draw.choice(["keyed.op", "keyed.servers"]))
 
     async def _deal_group(self, draw: Random, for_s: float) -> None:
-        self.site.store.deal_anew(GROUP)
+        self.site.store.rebalance(GROUP)
 
     async def _publish(self, draw: Random, for_s: float) -> None:
         self.publish()
@@ -361,9 +366,9 @@
         await asyncio.gather(*self.recoveries)
         for link in self.site.links.values():
             link.set(LinkState.WHOLE)
-        for door in self.site.doors.values():
-            door.outage = Outage.NONE
-            door.lose_answers = False
+        for store_listener in self.site.store_listeners.values():
+            store_listener.outage = Outage.NONE
+            store_listener.lose_answers = False
         for runner in self.runners:
             runner.faults.clear()
             runner.break_after = None
@@ -376,7 +381,8 @@
                     waiting.discard(name)
             await asyncio.sleep(0.1)
         return [
-            Violation(Promise.SERVES_AGAIN, f"node {name}") for name in sorted(waiting)
+            Violation(Invariant.SERVES_AGAIN, f"node {name}")
+            for name in sorted(waiting)
         ]
 
     async def _serves(self, name: str) -> bool:
@@ -413,7 +419,7 @@
     folder : pathlib.Path
         Gets the nodes' settings and logs.
     """
-    site = UsersSite(StoreStandIn(), CloudStandIn("127.0.0.1"), linked=True)
+    site = EntrySite(StoreStandIn(), CloudStandIn("127.0.0.1"), linked=True)
     await site.cloud.start()
     run = SoakRun(site, size, Random(seed), folder)
     plan = draw_plan(seed, size.length_s, size.kinds)
--- a/poplarrelay/testing/soak/tests/test_soak.py
+++ b/poplarrelay/testing/soak/tests/test_soak.py
@@ -8,10 +8,11 @@
 from poplarrelay.commands.soak import parse_seeds
 from poplarrelay.standins.users.cloud import AcceptedCall
 from poplarrelay.standins.users.runner import ReceivedRequest, RunnerStandIn
+from poplarrelay.testing.entry_site import run_entry_site, run_scenario
 from poplarrelay.testing.soak.ledger import (
     Asked,
     Ending,
-    Promise,
+    Invariant,
     check_duties,
     check_requests,
 )
@@ -22,7 +23,6 @@
     draw_plan,
 )
 from poplarrelay.testing.soak.run import SoakRun, SoakSize, soak
-from poplarrelay.testing.users import play, run_users_site
 
 #: Seeds of the short run that CI makes, those that ever showed something among them.
 #: 2: an endpoint that misbehaves answers a stream's request in one piece; the check
@@ -63,48 +63,54 @@
     return made
 
 
-def promises(requests, runners):
+def broken_invariants(requests, runners):
     found = check_requests(requests, runners, ["key-of-alpha"])
-    return {violation.promise for violation in found}
+    return {violation.invariant for violation in found}
 
 
 class TestRequests:
     def test_sound_run_breaks_nothing(self):
-        assert promises([asked()], [runner("r1", "q1")]) == set()
+        assert broken_invariants([asked()], [runner("r1", "q1")]) == set()
 
     def test_work_done_twice_is_noticed(self):
         runners = [runner("r1", "q1"), runner("r2", "q1")]
-        assert Promise.AT_MOST_ONCE in promises([asked()], runners)
-        assert Promise.AT_MOST_ONCE not in promises([asked(repeatable=True)], runners)
+        assert Invariant.AT_MOST_ONCE in broken_invariants([asked()], runners)
+        assert Invariant.AT_MOST_ONCE not in broken_invariants(
+            [asked(repeatable=True)], runners
+        )
 
     @pytest.mark.parametrize("status", [408, 421, 429, 503])
     def test_false_promise_is_noticed(self, status):
         refused = asked(status=status, body=b"")
-        assert promises([refused], [runner("r1", "q1")]) == {Promise.NOT_RUN_IS_TRUE}
-        assert promises([refused], [runner()]) == set()
+        assert broken_invariants([refused], [runner("r1", "q1")]) == {
+            Invariant.NOT_RUN_IS_TRUE
+        }
+        assert broken_invariants([refused], [runner()]) == set()
 
     @pytest.mark.parametrize("body", [b"answer to q2 by r1", b"answer to q1", b""])
     def test_wrong_or_short_answer_is_noticed(self, body):
-        found = promises([asked(body=body)], [runner("r1", "q1")])
-        assert found == {Promise.OWN_WHOLE_ANSWER}
+        found = broken_invariants([asked(body=body)], [runner("r1", "q1")])
+        assert found == {Invariant.OWN_WHOLE_ANSWER}
 
     def test_request_that_nobody_sent_is_noticed(self):
-        found = promises([asked()], [runner("r1", "q1", "q9")])
-        assert found == {Promise.NOTHING_INVENTED}
+        found = broken_invariants([asked()], [runner("r1", "q1", "q9")])
+        assert found == {Invariant.NOTHING_INVENTED}
 
     def test_another_teams_name_and_a_key_are_noticed(self):
         for header, value in (
             ("x-poplarrelay-tenant", "beta"),
             ("authorization", "Bearer key-of-alpha"),
         ):
-            found = promises([asked()], [runner("r1", "q1", **{header: value})])
-            assert found == {Promise.NOTHING_INVENTED}
+            found = broken_invariants(
+                [asked()], [runner("r1", "q1", **{header: value})]
+            )
+            assert found == {Invariant.NOTHING_INVENTED}
 
     def test_request_that_is_held_is_noticed_unless_its_node_stood_still(self):
         held = asked(ending=Ending.STILL_OPEN)
-        assert promises([held], []) == {Promise.ENDS_IN_TIME}
+        assert broken_invariants([held], []) == {Invariant.ENDS_IN_TIME}
         held.disturbed = True
-        assert promises([held], []) == set()
+        assert broken_invariants([held], []) == set()
 
 
 class TestDuties:
@@ -112,12 +118,12 @@
         calls = [usage(7, {"alpha": 1}), usage(7, {"alpha": 1}), usage(8, {})]
         assert check_duties(calls) == []
         found = check_duties([*calls, usage(7, {"alpha": 2})])
-        assert [violation.promise for violation in found] == [Promise.ONE_REPORT]
+        assert [violation.invariant for violation in found] == [Invariant.ONE_REPORT]
 
     def test_two_holders_of_a_token_are_noticed(self):
         calls = [usage(7, {}, holder="a"), usage(8, {}, holder="b")]
         found = check_duties(calls)
-        assert [violation.promise for violation in found] == [Promise.ONE_HOLDER]
+        assert [violation.invariant for violation in found] == [Invariant.ONE_HOLDER]
 
 
 def usage(window, counts, holder="a"):
@@ -141,7 +147,7 @@
     # A kill and a stop strike the same node; both wait and start it again. The second
     # process would be left behind when the run ends.
     async def scenario():
-        async with run_users_site(nodes=0) as site:
+        async with run_entry_site(nodes=0) as site:
             run = SoakRun(site, SoakSize(nodes=1), Random(1), tmp_path)
             await run.start()
             await site.processes["a"].kill()
@@ -149,7 +155,7 @@
             assert len(site.started) == 2
         assert all(each.process.returncode is not None for each in site.started)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.processes
--- a/poplarrelay/testing/steps.py
+++ b/poplarrelay/testing/steps.py
@@ -11,19 +11,19 @@
 
 __all__ = [
     "PROMPT",
-    "QUICK",
+    "SHORT_TIMEOUTS",
     "busy_endpoint",
     "busy_node",
     "confirm",
     "drain_stream",
-    "runs_of",
+    "run_counts",
     "start_stream",
     "whole",
 ]
 
 PROMPT = "officer notes of one family " * 40
 #: Short waits, so that failures are seen soon.
-QUICK = {
+SHORT_TIMEOUTS = {
     "timing": {
         "log_wait_s": 0.5,
         "log_timeout_s": 0.5,
@@ -92,6 +92,6 @@
     )
 
 
-def runs_of(site: RunningSite) -> list[int]:
+def run_counts(site: RunningSite) -> list[int]:
     """Return how often each booking ran."""
     return list(site.runs().values())
--- a/poplarrelay/testing/tests/conftest.py
+++ b/poplarrelay/testing/tests/conftest.py
@@ -4,10 +4,10 @@
 
 from poplarrelay.testing.builders import small_site
 from poplarrelay.testing.processes import run_site
-from poplarrelay.testing.steps import QUICK
+from poplarrelay.testing.steps import SHORT_TIMEOUTS
 
 
 @pytest.fixture
 def site():
-    with run_site(small_site(engines=4), settings=QUICK) as running:
+    with run_site(small_site(engines=4), settings=SHORT_TIMEOUTS) as running:
         yield running
--- a/poplarrelay/testing/tests/test_at_most_once_on_processes.py
+++ b/poplarrelay/testing/tests/test_at_most_once_on_processes.py
@@ -8,7 +8,7 @@
 
 from poplarrelay.client import AnswerNotRun, AnswerUnknown
 from poplarrelay.testing.processes import wait_until
-from poplarrelay.testing.steps import busy_node, confirm, runs_of
+from poplarrelay.testing.steps import busy_node, confirm, run_counts
 
 pytestmark = pytest.mark.processes
 
@@ -17,7 +17,7 @@
     answers = []
 
     def ask(node):
-        reply = site.caller.call(
+        reply = site.http_client.call(
             "POST",
             site.nodes[node].address,
             "/services/booking/confirm",
@@ -35,7 +35,7 @@
         thread.start()
     for thread in threads:
         thread.join()
-    assert runs_of(site) == [1]
+    assert run_counts(site) == [1]
     assert len(set(answers)) == 1
     assert answers[0][0] == 200
 
@@ -44,7 +44,7 @@
     # The claim takes effect and its answer is kept back.
     site.faults("log", lose_answers=2, lost_s=2.0)
     assert confirm(site, "lost-append", "one").status == 200
-    assert runs_of(site) == [1]
+    assert run_counts(site) == [1]
 
 
 def test_log_outage_refuses_plain_keys_at_once_and_runs_tickets(site):
@@ -60,7 +60,7 @@
     assert confirm(site, None, "two").status == 200
     site.faults("log")
     assert confirm(site, "in-outage", "one").status == 200
-    assert runs_of(site) == [1, 1]
+    assert run_counts(site) == [1, 1]
 
 
 def test_frozen_home_of_a_ticket_is_unknown_and_runs_at_most_once(site):
@@ -76,7 +76,7 @@
     wait_until(lambda: site.ready(home))
     with contextlib.suppress(AnswerUnknown):
         confirm(site, ticket, "frozen", timeout_s=5.0)
-    assert sum(runs_of(site)) <= 1
+    assert sum(run_counts(site)) <= 1
 
 
 def test_crashed_home_of_a_claim_is_unknown_and_not_run_again(site):
@@ -94,18 +94,18 @@
     caller = threading.Thread(target=ask)
     caller.start()
     node = wait_until(lambda: busy_node(site))
-    wait_until(lambda: runs_of(site) == [1])
+    wait_until(lambda: run_counts(site) == [1])
     site.nodes[node].kill()
     caller.join()
     assert [type(failure) for failure in failures] == [AnswerUnknown]
-    assert runs_of(site) == [1]
+    assert run_counts(site) == [1]
 
 
 def test_desk_that_runs_and_does_not_answer_is_unknown(site):
     site.faults("desk-1", lose_answers=1, lost_s=5.0)
     with pytest.raises(AnswerUnknown):
         confirm(site, None, "silent", timeout_s=2.0)
-    assert runs_of(site) == [1]
+    assert run_counts(site) == [1]
 
 
 def test_restarted_node_knows_the_claims_of_before(site):
@@ -125,4 +125,4 @@
     with pytest.raises(AnswerUnknown):
         confirm(site, "before", "one", timeout_s=2.0)
     assert first.status == 200
-    assert runs_of(site) == [1]
+    assert run_counts(site) == [1]
--- a/poplarrelay/testing/tests/test_configuration.py
+++ b/poplarrelay/testing/tests/test_configuration.py
@@ -12,7 +12,7 @@
 
 pytestmark = pytest.mark.processes
 
-QUICK = {
+SHORT_TIMEOUTS = {
     "timing": {
         "log_wait_s": 0.5,
         "log_timeout_s": 0.5,
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def site():
-    with run_site(small_site(engines=1), settings=QUICK) as running:
+    with run_site(small_site(engines=1), settings=SHORT_TIMEOUTS) as running:
         yield running
 
 
@@ -168,7 +168,7 @@
     # the records behind it, and an outage longer than the retention is survived.
     options = ["--retention-s", "6"]
     with run_site(
-        small_site(engines=1), settings=QUICK, log_options=options
+        small_site(engines=1), settings=SHORT_TIMEOUTS, log_options=options
     ) as running:
         accepted = change(running, "node-1", 61)
         log = running.platform["log"]
@@ -229,7 +229,7 @@
 
 
 def test_a_lone_node_cut_from_the_log_steps_aside():
-    with run_site(small_site(nodes=1, engines=1), settings=QUICK) as running:
+    with run_site(small_site(nodes=1, engines=1), settings=SHORT_TIMEOUTS) as running:
         link = _linked(running, "node-1")
         link.set(LinkState.CUT)
         wait_until(lambda: not running.ready("node-1"), 10.0)
@@ -262,7 +262,7 @@
     template = {"runners": {"small": 1}, "models": ["small", "large"]}
     engine = {"names": ["small", "large"], "checks_fencing": False}
     with run_site(
-        small_site(engines=2, template=template, engine=engine), settings=QUICK
+        small_site(engines=2, template=template, engine=engine), settings=SHORT_TIMEOUTS
     ) as running:
         engines = [running.endpoints[f"engine-{n}"].address for n in (1, 2)]
 
--- a/poplarrelay/testing/tests/test_leaving_nodes.py
+++ b/poplarrelay/testing/tests/test_leaving_nodes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from poplarrelay.client import CallerClient, CallerFailure
+from poplarrelay.client import CallerClient, ClientError
 from poplarrelay.systems.draining import HANDOVER_SHARE
 from poplarrelay.testing.processes import wait_until
 from poplarrelay.testing.site import team_token
@@ -121,7 +121,7 @@
 
     def defer(prompt, max_tokens):
         body = {"model": "small", "prompt": prompt, "max_tokens": max_tokens}
-        reply = site.caller.call(
+        reply = site.http_client.call(
             "POST",
             victim.address,
             "/v1/requests",
@@ -180,7 +180,7 @@
 
 def _call(site, method, node, path, body=None):
     headers = {"Authorization": f"Bearer {team_token('alpha')}"}
-    return site.caller.call(
+    return site.http_client.call(
         method, node.address, path, body, timeout_s=8.0, headers=headers
     )
 
@@ -200,7 +200,7 @@
 def _answer(client, request):
     try:
         found = client.fetch(request)
-    except CallerFailure:
+    except ClientError:
         return None
     if found.status != "answered":
         return None
--- a/poplarrelay/testing/tests/test_membership.py
+++ b/poplarrelay/testing/tests/test_membership.py
@@ -10,17 +10,17 @@
 
 pytestmark = pytest.mark.processes
 
-QUICK = {"timing": {"drain_s": 5.0, "address_ttl_s": 1.0}}
+SHORT_TIMEOUTS = {"timing": {"drain_s": 5.0, "address_ttl_s": 1.0}}
 
 
 @pytest.fixture
 def site():
-    with run_site(small_site(nodes=5, engines=1), settings=QUICK) as running:
+    with run_site(small_site(nodes=5, engines=1), settings=SHORT_TIMEOUTS) as running:
         yield running
 
 
 def named(site, asked):
-    reply = site.caller.call(
+    reply = site.http_client.call(
         "GET",
         site.nodes[asked].address,
         "/v1/addresses",
@@ -37,7 +37,7 @@
     # A busy machine may make a node miss a probe; it is left out until it has denied
     # the suspicion, so the condition is waited for.
     def domains():
-        reply = site.caller.call(
+        reply = site.http_client.call(
             "GET",
             site.nodes["node-2"].address,
             "/v1/addresses",
--- a/poplarrelay/testing/tests/test_teams.py
+++ b/poplarrelay/testing/tests/test_teams.py
@@ -5,7 +5,7 @@
 import pytest
 
 from poplarrelay.client import RequestRefused
-from poplarrelay.testing.steps import confirm, runs_of
+from poplarrelay.testing.steps import confirm, run_counts
 
 pytestmark = pytest.mark.processes
 
@@ -15,7 +15,7 @@
     first = site.client("alpha").call_service("booking", "/a", body, key="same")
     second = site.client("beta").call_service("booking", "/b", body, key="same")
     assert first.body != second.body
-    assert sorted(runs_of(site)) == [1, 1]
+    assert sorted(run_counts(site)) == [1, 1]
 
 
 def test_key_that_comes_back_with_other_work_is_refused(site):
@@ -32,7 +32,7 @@
         site.endpoints[f"engine-{engine}"].freeze()
     started = time.monotonic()
     address = site.nodes["node-1"].address
-    reply = site.caller.call(
+    reply = site.http_client.call(
         "POST",
         address,
         "/v1/completions",
--- a/poplarrelay/testing/tests/test_whole_path.py
+++ b/poplarrelay/testing/tests/test_whole_path.py
@@ -25,7 +25,7 @@
 
 def test_completion_without_stream_is_whole(site):
     address = next(iter(site.nodes.values())).address
-    reply = site.caller.call(
+    reply = site.http_client.call(
         "POST",
         address,
         "/v1/chat/completions",
@@ -64,7 +64,7 @@
     node = next(iter(site.nodes.values()))
     texts = []
     for resume_from in (4, 0, 6):
-        reply = site.caller.call(
+        reply = site.http_client.call(
             "POST",
             node.address,
             "/v1/completions",
@@ -99,7 +99,7 @@
     body = {"model": "small", "prompt": PROMPT, "max_tokens": 1}
     accepted = site.client("beta").defer("/v1/completions", body)
     for node in site.nodes.values():
-        reply = site.caller.call(
+        reply = site.http_client.call(
             "GET",
             node.address,
             f"/v1/requests/{accepted.id}",
--- a/poplarrelay/web/exchange.py
+++ b/poplarrelay/web/exchange.py
@@ -9,9 +9,9 @@
 from pydantic import BaseModel, ValidationError
 
 from poplarrelay.exception import BodyTooLarge, CallerError, MalformedBody
-from poplarrelay.settings import faults_of
+from poplarrelay.settings import field_errors
 from poplarrelay.web.listener import CLOSE_CONNECTION
-from poplarrelay.web.problems import Problem, ProblemResponse, problem_of_error
+from poplarrelay.web.problems import Problem, ProblemResponse, problem_from_error
 
 __all__ = [
     "answer_json",
@@ -37,7 +37,7 @@
 
 def reject(error: CallerError) -> ProblemResponse:
     """Return the response to raise for an unacceptable request."""
-    return ProblemResponse(problem_of_error(error))
+    return ProblemResponse(problem_from_error(error))
 
 
 def require_method(*allowed: str) -> None:
@@ -113,7 +113,7 @@
     try:
         return model.model_validate(value)
     except ValidationError as error:
-        problems = "; ".join(str(fault) for fault in faults_of(error))
+        problems = "; ".join(str(fault) for fault in field_errors(error))
         raise MalformedBody(problems) from None
 
 
--- a/poplarrelay/web/problems.py
+++ b/poplarrelay/web/problems.py
@@ -17,8 +17,8 @@
     "Problem",
     "ProblemResponse",
     "error_page",
-    "problem_of_error",
-    "problem_of_outcome",
+    "problem_from_error",
+    "problem_from_outcome",
 ]
 
 PROBLEM_TYPE = "application/problem+json"
@@ -71,12 +71,12 @@
         return orjson.dumps(document)
 
 
-def problem_of_error(error: CallerError) -> Problem:
+def problem_from_error(error: CallerError) -> Problem:
     """Return the document of an unacceptable request; it was certainly not run."""
     return Problem(error.status, error.slug, error.title, str(error), outcome="not_run")
 
 
-def problem_of_outcome(outcome: NotRun | Unknown) -> Problem:
+def problem_from_outcome(outcome: NotRun | Unknown) -> Problem:
     """Return the document of an outcome that is no answer."""
     if isinstance(outcome, NotRun):
         status = _NOT_RUN_STATUS.get(outcome.reason, HTTPStatus.SERVICE_UNAVAILABLE)
