--- a/bench/entry_safeguards.py
+++ b/bench/entry_safeguards.py
@@ -335,7 +335,8 @@
     Safeguard(
         "forgotten history is read anew",
         f"{ENTRY}/endpoint_reader.py",
-        "            except HistoryTrimmed:\n                self._whole = True\n",
+        "            except HistoryTrimmed:\n"
+        "                self._full_read_due = True\n",
         "            except HistoryTrimmed:\n                pass\n",
         "test_departures.py",
     ),
--- a/poplarrelay/entry/endpoint_list.py
+++ b/poplarrelay/entry/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of endpoints, put together from the newest record of each."""
+"""List of endpoints, built from the newest record of each endpoint."""
 
 from __future__ import annotations
 
@@ -19,27 +19,28 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.listing")
 
-#: Seconds for which a record that went in an outage may come back: it is written
-#: again within two seconds of the store's return, if the endpoint lives.
-COMEBACK_S = 2.3
-#: Seconds for which the removal of a record is remembered. An older record of the
-#: endpoint may come that late from a peer's list, whose transfer takes a second or two.
-REMEMBERED_S = 60.0
+#: Seconds for which an endpoint stays in use after its record lapsed in an outage. A
+#: live endpoint writes its record again within two seconds of the end of the outage.
+LAPSE_GRACE_S = 2.3
+#: Seconds for which the removal of a record is kept. A peer's list can bring an older
+#: record of the endpoint after the removal, as its transfer takes a second or two.
+REMOVAL_MEMORY_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointChange:
-    """What the store held last of an endpoint, as one node tells it to another.
+    """Last change of an endpoint's record in the store, as nodes exchange it.
 
     Attributes
     ----------
     offset : Offset
-        Position of the record. Of two of one endpoint the later holds, by whichever
-        way and in whatever order they come.
+        Position of the record. Of two changes of one endpoint, the one with the later
+        offset is valid, independent of their senders and order of arrival.
     content : bytes or None
-        The record, None if it was removed or names no endpoint to use.
+        The record; None if it was removed or cannot be used.
     lapsed : bool
-        Whether it went while the store was away, so that it may come back.
+        Whether the record was removed during an outage of the store. The endpoint can
+        still be alive and write it again.
     """
 
     endpoint: EndpointId
@@ -49,50 +50,52 @@
 
     @property
     def removal(self) -> bool:
-        """Return whether there is no record any more."""
+        """Return whether the change removes the record."""
         return self.content is None
 
 
 @dataclass(slots=True)
-class _Known:
-    """The newest record of an endpoint that this node has seen.
+class _KnownRecord:
+    """Newest record of an endpoint that this node has received.
 
     Attributes
     ----------
     offset : Offset
         Position of the newest record.
-    changed : Offset
-        Position of the first one that says the same of the endpoint.
+    change_offset : Offset
+        Position of the earliest record with the same meaning as the newest one.
     record : EndpointRecord or None
-        What it says, None if there is no endpoint to use.
+        The decoded record; None if it was removed or cannot be used.
     content : bytes or None
-        The bytes of the record at `changed`.
-    at : float
-        Monotonic time at which this became known.
+        The bytes of the record at `change_offset`.
+    lapsed : bool
+        Whether the record was removed during an outage of the store.
+    learned_at : float
+        Monotonic time at which this node received the change.
     started_ms : StartTime or None
-        Start of the latest run that has been seen.
+        Start time of the endpoint's latest known run.
     fault : str
-        Why the record could not be read, empty if it could.
+        Reason why the record cannot be decoded, empty if it can.
     """
 
     offset: Offset
-    changed: Offset
+    change_offset: Offset
     record: EndpointRecord | None
     content: bytes | None
     lapsed: bool
-    at: float
+    learned_at: float
     started_ms: StartTime | None
     fault: str
 
 
 def digest_of(rows: Iterable[Endpoint]) -> str:
-    """Return what a list of endpoints comes to; equal lists have equal digests.
+    """Return a digest of a list of endpoints; equal lists have equal digests.
 
     Notes
     -----
-    Only what decides where requests go counts: records are written again at every
-    heartbeat. Endpoints whose records are away since an outage of the store do not
-    count, since the store does not list them.
+    The digest covers only the fields that determine where requests are sent, since
+    records are written again at every heartbeat. It leaves out endpoints whose records
+    lapsed in an outage, since the store does not list them.
     """
     facts = sorted(
         (
@@ -110,30 +113,29 @@
 
 
 class EndpointList:
-    """Keeps the table of endpoints to the newest record of each.
+    """List that updates the table of endpoints with the newest record of each.
 
     Parameters
     ----------
     state : EntryState
-        The tables.
+        Tables of this node.
     reads_failed_s : callable
-        Returns for how long reads of the store have failed, 0 if the last did not.
+        Returns for how long reads of the store have failed, 0 if the last succeeded.
     on_change : callable
         Called after endpoints have changed.
     on_departure : callable
-        Is given each endpoint that has left, so that peers hear of it at once.
-    on_ended : callable
-        Is given the row of each run that has ended, whose idle connections are of no
-        use any more.
+        Called with each endpoint that leaves, to announce it to peers at once.
+    on_run_ended : callable
+        Called with the row of each run that has ended, to close its idle connections.
     clock : callable
         Returns the monotonic time.
 
     Notes
     -----
-    Every fact carries its record's offset in the store, and a record changes nothing
-    where a later one is known. A peer's whole list once replaced this node's by its
-    age: one that was taken for newer than it was removed endpoints that the store
-    held, and brought back others that had left. Offsets need no clock.
+    Every change has the offset of its record in the store. A change is ignored if a
+    later one is known. Offsets need no clock: when lists of peers were compared by age,
+    a list that seemed newer than it was removed endpoints that the store held, and
+    restored endpoints that had left.
     """
 
     def __init__(
@@ -142,160 +144,164 @@
         reads_failed_s: Callable[[float], float],
         on_change: Callable[[], None],
         on_departure: Callable[[EndpointId], None],
-        on_ended: Callable[[Endpoint], None],
+        on_run_ended: Callable[[Endpoint], None],
         clock: Callable[[], float] = monotonic,
     ) -> None:
         self._state = state
         self._reads_failed_s = reads_failed_s
         self._on_change = on_change
         self._on_departure = on_departure
-        self._on_ended = on_ended
+        self._on_run_ended = on_run_ended
         self._clock = clock
-        self._known: dict[EndpointId, _Known] = {}
-        #: Changes before this offset may have been forgotten.
+        self._known: dict[EndpointId, _KnownRecord] = {}
+        #: Some changes before this offset can be missing from `_known`.
         self._floor = Offset(0)
         self.digest = digest_of(())
 
-    # what is known
+    # queries
 
     def change(self, endpoint: EndpointId) -> EndpointChange | None:
-        """Return the last change of an endpoint, None if it is not known."""
+        """Return the last change of an endpoint, None if there is none."""
         known = self._known.get(endpoint)
         if known is None:
             return None
-        return EndpointChange(endpoint, known.changed, known.content, known.lapsed)
+        return EndpointChange(
+            endpoint, known.change_offset, known.content, known.lapsed
+        )
 
     def since(self, offset: Offset) -> list[EndpointChange] | None:
-        """Return all changes from an offset on, None if some are forgotten."""
+        """Return all changes from an offset on, None if some can be missing."""
         if offset < self._floor:
             return None
         changes = [
-            EndpointChange(endpoint, known.changed, known.content, known.lapsed)
+            EndpointChange(endpoint, known.change_offset, known.content, known.lapsed)
             for endpoint, known in self._known.items()
-            if known.changed >= offset
+            if known.change_offset >= offset
         ]
         return sorted(changes, key=lambda change: change.offset)
 
     def all(self) -> list[EndpointChange]:
         """Return the last change of each endpoint that has a record."""
         return [
-            EndpointChange(endpoint, known.changed, known.content)
+            EndpointChange(endpoint, known.change_offset, known.content)
             for endpoint, known in self._known.items()
             if known.content is not None
         ]
 
     @property
     def unreadable(self) -> dict[EndpointId, str]:
-        """Return why records that cannot be used cannot be read."""
+        """Return the endpoints whose records cannot be decoded, with the reasons."""
         return {e: known.fault for e, known in self._known.items() if known.fault}
 
     @property
     def earliest_lapse(self) -> Offset | None:
-        """Return where the first record stands that may come back, None if none may."""
-        lapsed = [k.changed for e, k in self._known.items() if self._suspended(e)]
+        """Return the first offset of the lapsed records of endpoints still in use."""
+        lapsed = [k.change_offset for e, k in self._known.items() if self._suspended(e)]
         return min(lapsed, default=None)
 
     def _suspended(self, endpoint: EndpointId) -> bool:
         row = self._state.endpoints.rows.get(endpoint)
         return row is not None and row.suspended_until is not None
 
-    # what comes from the store
+    # records from the store
 
     def apply_newest(self, records: list[KeyedRecord], as_of: Offset) -> None:
-        """Take the newest records of all endpoints, as of an offset."""
-        listed = self._take_records(records)
-        self._drop_missing(listed, as_of, "removed")
+        """Apply the newest records of all endpoints before the offset `as_of`."""
+        listed = self._apply_each(records)
+        self._remove_missing(listed, as_of, "removed")
         self._state.endpoints_known = True
-        # What was removed before is in no list; only a removal seen here is known.
+        # Removals before this offset that this node has not received are unknown: the
+        # store does not list removed records.
         self._floor = max(self._floor, as_of)
-        self._finish()
+        self._finish_update()
 
     def apply_records(self, records: list[KeyedRecord]) -> None:
-        """Take records in the order in which they were written."""
-        self._take_records(records)
-        self._finish()
+        """Apply records in the order in which they were written."""
+        self._apply_each(records)
+        self._finish_update()
 
-    def _take_records(self, records: list[KeyedRecord]) -> set[EndpointId]:
+    def _apply_each(self, records: list[KeyedRecord]) -> set[EndpointId]:
         now = self._clock()
         listed: set[EndpointId] = set()
         for record in records:
             endpoint = EndpointId(record.key)
-            lapsed = record.value is None and self._was_away(now)
+            lapsed = record.value is None and self._store_was_unavailable(now)
             change = EndpointChange(endpoint, record.offset, record.value, lapsed)
-            self._take(change, "removed" if change.removal else "read", now)
+            self._apply(change, "removed" if change.removal else "read", now)
             if not change.removal:
                 listed.add(endpoint)
         return listed
 
-    def _was_away(self, now: float) -> bool:
-        """Return whether the store has just come back, for all nodes.
+    def _store_was_unavailable(self, now: float) -> bool:
+        """Return whether an outage of the store for all nodes has just ended.
 
         Notes
         -----
-        Only then may a record that went come back. Neither sign is enough: failed reads
-        alone may be this node's own trouble, while peers have confirmed its list; a
-        list that is old without a failed read shows a busy node.
+        Only then can the endpoint of a removed record still be alive. Both conditions
+        are necessary: failed reads alone can affect only this node, while peers confirm
+        its list; an old list without a failed read means that this node was busy.
         """
         failed = self._reads_failed_s(now) > 0
         freshness = self._state.freshness
         return failed and freshness.age_s(now) > freshness.times.outage_s
 
-    def _drop_missing(self, listed: set[EndpointId], as_of: Offset, why: str) -> None:
-        """Take out endpoints whose records are older than a list and not in it."""
+    def _remove_missing(self, listed: set[EndpointId], as_of: Offset, why: str) -> None:
+        """Remove endpoints that a list lacks, unless their record is later than it."""
         now = self._clock()
-        lapsed = self._was_away(now)
+        lapsed = self._store_was_unavailable(now)
         for endpoint, known in list(self._known.items()):
             if known.content is None or endpoint in listed:
                 continue
-            # Refused where a record later than the list is known.
-            gone = EndpointChange(endpoint, Offset(as_of - 1), None, lapsed)
-            self._take(gone, why, now)
+            # `_apply` ignores this change if a record later than the list is known.
+            removal_change = EndpointChange(endpoint, Offset(as_of - 1), None, lapsed)
+            self._apply(removal_change, why, now)
 
-    # what comes from peers
+    # changes from peers
 
     def apply_changes(self, changes: Iterable[EndpointChange], peer: str) -> None:
-        """Take changes that a peer has passed on."""
+        """Apply changes that a peer has sent."""
         now = self._clock()
         for change in changes:
-            self._take(change, f"told by {peer}", now)
-        self._finish()
+            self._apply(change, f"told by {peer}", now)
+        self._finish_update()
 
     def replace_all(
         self, changes: Iterable[EndpointChange], as_of: Offset, peer: str
     ) -> None:
-        """Take a peer's whole list, which knows every record before an offset."""
+        """Apply a peer's complete list, which covers every record before an offset."""
         now = self._clock()
         listed = set()
         for change in changes:
-            self._take(change, f"told by {peer}", now)
+            self._apply(change, f"told by {peer}", now)
             listed.add(change.endpoint)
-        self._drop_missing(listed, as_of, f"not in the list of {peer}")
+        self._remove_missing(listed, as_of, f"not in the list of {peer}")
         self._floor = max(self._floor, as_of)
-        self._finish()
+        self._finish_update()
 
-    # one change
+    # applying one change
 
-    def _take(self, change: EndpointChange, why: str, now: float) -> None:
+    def _apply(self, change: EndpointChange, why: str, now: float) -> None:
         known = self._known.get(change.endpoint)
         if change.lapsed and self._state.freshness.steady(now):
-            # A peer took its own trouble for an outage. The store answered all the
-            # while, so this record went for good.
+            # The peer mistook its own failed reads for an outage. The store was
+            # available, so the removal is final.
             change = replace(change, lapsed=False)
         if known is not None and not _supersedes(change, known):
             return
         record, fault = self._decode(change, known)
-        if known is not None and _says_nothing_new(record, known):
-            # Nothing to tell others, but a list must not drop the endpoint.
+        if known is not None and _is_redundant(record, known):
+            # There is nothing to send to peers. The later offset prevents that an older
+            # list removes the endpoint.
             known.offset = change.offset
             return
-        self._known[change.endpoint] = _Known(
+        self._known[change.endpoint] = _KnownRecord(
             offset=change.offset,
-            changed=change.offset,
+            change_offset=change.offset,
             record=record,
             content=None if record is None else change.content,
             lapsed=change.lapsed,
-            at=now,
-            started_ms=_latest(record, known),
+            learned_at=now,
+            started_ms=_latest_start(record, known),
             fault=fault,
         )
         if record is not None:
@@ -306,16 +312,16 @@
             self._drop(change, why if change.removal else "record unreadable")
 
     def _decode(
-        self, change: EndpointChange, known: _Known | None
+        self, change: EndpointChange, known: _KnownRecord | None
     ) -> tuple[EndpointRecord | None, str]:
-        """Return what a record says, or why it names no endpoint to use."""
+        """Return the decoded record, or the reason why it cannot be decoded."""
         if change.content is None:
             return None, ""
         try:
             return decode_endpoint(change.endpoint, change.content), ""
         except PlatformRecordMalformed as error:
             fault = str(error)
-        # The same writer writes again at every heartbeat; one line tells it.
+        # The record is written again at every heartbeat; log each fault once.
         if known is None or known.fault != fault:
             _LOG.error(
                 "endpoint unreadable",
@@ -333,7 +339,7 @@
         change = "new"
         if row is not None and not _same_run(row, record):
             self._state.endpoints.drop(record.endpoint)
-            self._on_ended(row)
+            self._on_run_ended(row)
             row = None
             departs = True
             change = "started again"
@@ -360,7 +366,7 @@
         row = self._state.endpoints.rows.get(change.endpoint)
         if row is None or row.suspended_until is not None:
             return
-        row.suspended_until = now + COMEBACK_S
+        row.suspended_until = now + LAPSE_GRACE_S
         self._log(row, "kept", change.offset, "record went while the store was away")
 
     def _drop(self, change: EndpointChange, why: str) -> None:
@@ -368,7 +374,7 @@
         if row is None:
             return
         self._state.endpoints.drop(change.endpoint)
-        self._on_ended(row)
+        self._on_run_ended(row)
         self._log(row, "gone", change.offset, why)
         self._on_departure(change.endpoint)
 
@@ -392,67 +398,67 @@
             },
         )
 
-    # as time passes
+    # expiry
 
     def expire(self, now: float) -> None:
-        """Take out endpoints whose records did not come back after an outage."""
-        late = [
+        """Remove endpoints whose records were not written again after an outage."""
+        expired = [
             row
             for row in self._state.endpoints.rows.values()
             if row.suspended_until is not None and row.suspended_until <= now
         ]
-        for row in late:
+        for row in expired:
             known = self._known[row.endpoint]
             known.lapsed = False
-            gone = EndpointChange(row.endpoint, known.changed, None)
-            self._drop(gone, "record did not come back")
-        if late:
-            self._finish()
+            removal_change = EndpointChange(row.endpoint, known.change_offset, None)
+            self._drop(removal_change, "record did not come back")
+        if expired:
+            self._finish_update()
 
     def forget(self, now: float) -> None:
-        """Forget removals that no late list can undo any more."""
+        """Delete old removals, which no delayed list of a peer can undo."""
         old = [
             endpoint
             for endpoint, known in self._known.items()
-            if known.record is None and now - known.at > REMEMBERED_S
+            if known.record is None and now - known.learned_at > REMOVAL_MEMORY_S
         ]
         for endpoint in old:
-            changed = self._known.pop(endpoint).changed
-            self._floor = max(self._floor, Offset(changed + 1))
+            change_offset = self._known.pop(endpoint).change_offset
+            self._floor = max(self._floor, Offset(change_offset + 1))
 
     def resync(self) -> None:
-        """Forget all offsets: the store counts anew.
+        """Reset all offsets after the store has restarted its count.
 
         Notes
         -----
-        Rows stay in use until the next list shows which of them there are.
+        Rows stay in use until the next list shows which endpoints exist.
         """
         for known in self._known.values():
-            known.offset = known.changed = Offset(-1)
+            known.offset = known.change_offset = Offset(-1)
         self._floor = Offset(0)
         self._state.freshness.as_of = Offset(0)
         self._state.freshness.invalidate()
 
-    def _finish(self) -> None:
+    def _finish_update(self) -> None:
         self.digest = digest_of(self._state.endpoints.rows.values())
         self._on_change()
 
 
-def _supersedes(change: EndpointChange, known: _Known) -> bool:
-    """Return whether a change holds where another is known.
+def _supersedes(change: EndpointChange, known: _KnownRecord) -> bool:
+    """Return whether a change replaces the known record.
 
     Notes
     -----
-    Of one removal, a node that saw it while the store was there knows better than
-    one that took it for the effect of an outage.
+    For the same removal, a node that read it while the store was available overrules a
+    node that took it for an effect of an outage.
     """
     if change.offset != known.offset:
         return change.offset > known.offset
     return change.removal and not change.lapsed and known.lapsed
 
 
-def _says_nothing_new(record: EndpointRecord | None, known: _Known) -> bool:
-    """Return whether a record is a heartbeat, or of a run that another replaced."""
+def _is_redundant(record: EndpointRecord | None, known: _KnownRecord) -> bool:
+    """Return whether a record is a heartbeat or belongs to an earlier run."""
     if record is None:
         return False
     if record == known.record:
@@ -462,15 +468,17 @@
     return record.started_ms < known.started_ms
 
 
-def _latest(record: EndpointRecord | None, known: _Known | None) -> StartTime | None:
-    """Return the start of the latest run of an endpoint that has been seen."""
+def _latest_start(
+    record: EndpointRecord | None, known: _KnownRecord | None
+) -> StartTime | None:
+    """Return the start time of an endpoint's latest known run."""
     if record is not None and record.started_ms is not None:
         return record.started_ms
     return None if known is None else known.started_ms
 
 
 def _same_run(row: Endpoint, record: EndpointRecord) -> bool:
-    """Return whether a record is of the run of the endpoint that a row is of."""
+    """Return whether a record and a row belong to the same run of the endpoint."""
     return (row.service, row.address, row.domain, row.started_ms) == (
         record.service,
         (record.host, record.port),
--- a/poplarrelay/entry/endpoint_reader.py
+++ b/poplarrelay/entry/endpoint_reader.py
@@ -1,4 +1,4 @@
-"""Reading the list of endpoints from the platform's store, when it is due."""
+"""Periodic reads of the endpoint list from the platform's store."""
 
 from __future__ import annotations
 
@@ -20,30 +20,31 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.reading")
 
-#: Seconds between looks at whether news has made a read due earlier, or later.
-LOOK_S = 0.1
-#: Age in seconds of a list up to which a node reads on from it. For older ones it reads
-#: the newest record of each key: fewer than all that were written.
-READ_ON_S = 4.0
-#: Longest pause in seconds between reads that fail.
-LONGEST_PAUSE_S = 0.6
+#: Seconds between checks whether messages of peers have changed the time of the next
+#: read.
+POLL_INTERVAL_S = 0.1
+#: Age of the list in seconds up to which a node reads only later records. For an older
+#: list, the newest records of all keys are fewer than all later ones.
+MAX_INCREMENTAL_AGE_S = 4.0
+#: Longest pause in seconds after a failed read.
+MAX_PAUSE_S = 0.6
 
 
 class EndpointReader:
-    """Reads what is new in the endpoints' topic, or the newest record of each.
+    """Reader of the endpoints' topic: of later records, or of each key's newest record.
 
     Parameters
     ----------
     store : Store
-        The platform's store.
+        Client of the platform's store.
     dependency : Dependency
-        Notes answers and failures.
+        Recorder of replies and failures.
     endpoints : EndpointList
-        Takes the records.
+        List to which the records are applied.
     freshness : ListFreshness
-        Tells when the next read is due, and is told of each.
+        Schedule of the reads; each complete read updates it.
     announce : callable
-        Tells peers that a read begins.
+        Notifies peers that a read begins.
     """
 
     def __init__(
@@ -61,12 +62,12 @@
         self._freshness = freshness
         self._announce = announce
         self._rng = rng
-        self._whole = True
+        self._full_read_due = True
         self._failures = 0
 
     def resync(self) -> None:
-        """Read the newest record of every endpoint next."""
-        self._whole = True
+        """Make the next read a full one, of the newest record of every endpoint."""
+        self._full_read_due = True
         self._freshness.behind = True
 
     async def run(self) -> None:
@@ -76,7 +77,7 @@
             try:
                 await self._read(sent_at)
             except HistoryTrimmed:
-                self._whole = True
+                self._full_read_due = True
                 continue
             except PlatformUnavailable as error:
                 self._dependency.note_failure(error, sent_at)
@@ -86,55 +87,57 @@
             self._failures = 0
             self._dependency.note_answer()
             while (due_in_s := self._freshness.due_in_s(monotonic())) > 0:
-                await asyncio.sleep(min(due_in_s, LOOK_S))
-            # Not after a failure: nobody is to wait for a node that is cut off.
+                await asyncio.sleep(min(due_in_s, POLL_INTERVAL_S))
+            # Not after a failure: peers must not wait for a node that is partitioned.
             self._announce(monotonic())
 
-    def _answer_s(self) -> float:
-        """Return how long to wait for an answer.
+    def _answer_timeout_s(self) -> float:
+        """Return the timeout of the next read, in seconds.
 
         Notes
         -----
-        The first two reads must both end before the bound on leaving endpoints has
-        passed. Longer failures are a store that is slow or away: waiting longer gets
-        answers from a slow one.
+        The first two reads must both end within the bound on leaving endpoints. If more
+        reads fail, the store is slow or unavailable; a longer timeout gets replies from
+        a slow store.
         """
         first_s = self._freshness.times.answer_s
         return min(ANSWER_TIMEOUT_S, first_s * 2 ** min(6, max(0, self._failures - 1)))
 
     def _pause_s(self) -> float:
         first_s = self._freshness.times.pause_s
-        pause_s = min(LONGEST_PAUSE_S, first_s * 4 ** min(6, self._failures))
+        pause_s = min(MAX_PAUSE_S, first_s * 4 ** min(6, self._failures))
         return pause_s * (0.5 + 0.5 * self._rng.random())
 
     async def _read(self, sent_at: float) -> None:
-        if self._freshness.age_s(sent_at) > READ_ON_S:
-            self._whole = True
-        if self._whole:
-            await self._read_whole(sent_at)
+        if self._freshness.age_s(sent_at) > MAX_INCREMENTAL_AGE_S:
+            self._full_read_due = True
+        if self._full_read_due:
+            await self._read_newest(sent_at)
         else:
-            await self._read_on(sent_at)
+            await self._read_incremental(sent_at)
 
-    async def _read_whole(self, sent_at: float) -> None:
-        self._whole = False
+    async def _read_newest(self, sent_at: float) -> None:
+        self._full_read_due = False
         try:
-            records, as_of = await self._store.newest(ENDPOINTS_TOPIC, self._answer_s())
+            records, as_of = await self._store.newest(
+                ENDPOINTS_TOPIC, self._answer_timeout_s()
+            )
         except BaseException:
-            self._whole = True
+            self._full_read_due = True
             raise
         self._log(None, as_of, len(records))
         self._endpoints.apply_newest(records, as_of)
         self._freshness.note_read(sent_at, as_of)
 
-    async def _read_on(self, sent_at: float) -> None:
+    async def _read_incremental(self, sent_at: float) -> None:
         start = self._freshness.as_of
         page = await self._store.read(
-            ENDPOINTS_TOPIC, 0, start, answer_s=self._answer_s()
+            ENDPOINTS_TOPIC, 0, start, answer_s=self._answer_timeout_s()
         )
         if page.end < start:
             _LOG.error("store counts anew", extra={"start": start, "end": page.end})
             self._endpoints.resync()
-            self._whole = True
+            self._full_read_due = True
             return
         self._log(start, page.next, len(page.records))
         if page.records:
--- a/poplarrelay/entry/gossip.py
+++ b/poplarrelay/entry/gossip.py
@@ -1,4 +1,4 @@
-"""News between nodes: datagrams that carry rows of the peer table."""
+"""Gossip between nodes: datagrams that carry rows of the peer table."""
 
 from __future__ import annotations
 
@@ -29,41 +29,41 @@
 
 __all__ = ["FANOUT", "Gossip", "pick_targets"]
 
-#: Nodes of this node's cell told in one round. With three, news reaches 4, 16 and 64
-#: nodes after one, two and three rounds.
+#: Nodes of this node's cell that get its datagrams in one round. With three, an update
+#: reaches 4, 16 and 64 nodes after one, two and three rounds.
 FANOUT = 3
-#: Nodes of other cells told in one round. They bring summaries into a cell, where
-#: they then spread with the rows.
-FANOUT_ELSEWHERE = 1
-#: Nodes asked for their rows in one round. In a cell of 26 three or four are overdue at
-#: a time; many are only when this node itself was cut off, and then four show it.
-MOST_ASKED = 4
-#: Rounds for which a row is passed on after it was heard.
-HOT_ROUNDS = 2
-#: Nodes of any cell to which a datagram of crash records goes.
+#: Nodes of other cells that get summaries in one round. Those nodes forward the
+#: summaries within their cell together with the rows.
+FANOUT_OTHER_CELLS = 1
+#: Nodes asked for their rows in one round. In a cell of 26, three or four are overdue
+#: at a time. Many are overdue only if this node was unreachable; four replies show it.
+MAX_ROW_REQUESTS = 4
+#: Rounds in which a row is forwarded after it was received.
+FORWARD_ROUNDS = 2
+#: Nodes, of any cell, that get one datagram of crash records.
 CRASH_FANOUT = 4
-#: Largest datagram; what does not fit goes into another one.
+#: Largest datagram; larger messages are split.
 MAX_DATAGRAM_BYTES = 8_000
-#: Rows in one datagram at most, which bounds the time to encode them.
+#: Most rows in one datagram; the limit bounds the time to encode them.
 MAX_ROWS = 40
 
 _LOG = logging.getLogger("poplarrelay.entry.gossip")
 
-#: How an uncompressed datagram begins; no compressed one does.
-_PLAIN = b"{"
-#: What decoding raises where a datagram is none of a node's.
+#: First byte of an uncompressed datagram; a compressed one begins with another byte.
+_UNCOMPRESSED_START = b"{"
+#: Exceptions that decoding raises if a datagram was not sent by a node.
 MALFORMED = (ValueError, LookupError, TypeError, AttributeError)
 
 
 def pick_targets(
     alive: Sequence[str], silent: Sequence[str], seeds: Sequence[str], rng: Random
 ) -> list[str]:
-    """Return the hosts to tell in one round.
+    """Return the hosts that get this node's datagrams in one round.
 
     Notes
     -----
-    Besides `FANOUT` live nodes, one that is silent, or a seed: this joins nodes
-    that have just started, and joins two groups again after a cut.
+    These are `FANOUT` live nodes and sometimes one silent node or seed. The extra host
+    connects nodes that have just started, and reconnects groups after a partition.
     """
     targets = rng.sample(list(alive), min(FANOUT, len(alive)))
     others = [host for host in (*silent, *seeds) if host not in targets]
@@ -73,32 +73,32 @@
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends and takes rows.
+    """Datagram protocol that exchanges rows, summaries and other messages with nodes.
 
     Parameters
     ----------
     table : PeerTable
-        Where rows go.
+        Table that stores received rows and summaries.
     clock : ClusterClock
-        Learns the senders' time of day.
-    on_news : callable
-        Is given each row that is news.
-    on_summary : callable
-        Is given each summary of another cell that is news.
+        Clock that receives the time of day of each sender.
+    on_new_row : callable
+        Called with each row that is newer than the known one.
+    on_new_summary : callable
+        Called with each summary of another cell that is newer than the known one.
     monotonic : callable
         Returns the monotonic time.
     rng : random.Random
-        Draws whom to tell.
+        Random generator that selects the receivers.
     """
 
     def __init__(
         self,
         table: PeerTable,
         clock: ClusterClock,
-        on_news: Callable[[PeerRow], None],
+        on_new_row: Callable[[PeerRow], None],
         monotonic: Callable[[], float],
         rng: Random,
-        on_summary: Callable[[CellSummary], None] = lambda summary: None,
+        on_new_summary: Callable[[CellSummary], None] = lambda summary: None,
     ) -> None:
         self._table = table
         self._clock = clock
@@ -106,31 +106,31 @@
         self._backlog_client: BacklogClient | None = None
         self._crashes: CrashTable | None = None
         self._permits: PermitBroker | None = None
-        self._on_news = on_news
-        self._on_summary = on_summary
+        self._on_new_row = on_new_row
+        self._on_new_summary = on_new_summary
         self._monotonic = monotonic
         self._rng = rng
         self._transport: asyncio.DatagramTransport | None = None
         self._port = 0
-        self._hot: dict[NodeId, int] = {}
-        self._hot_cells: dict[Cell, int] = {}
+        self._rows_to_forward: dict[NodeId, int] = {}
+        self._cells_to_forward: dict[Cell, int] = {}
         self.sent_bytes = 0
         self.received_bytes = 0
         self.sent_datagrams = 0
-        #: Whether other cells should hear of this one before the next round is due.
+        #: Whether the next round should run at once, to send a change to other cells.
         self.urgent = False
 
     def attach_list_exchange(
         self, exchange: ListExchange, backlog_client: BacklogClient | None = None
     ) -> None:
-        """Carry what nodes tell each other of endpoints as well.
+        """Exchange endpoint lists and prompt queues with other nodes.
 
         Parameters
         ----------
         exchange : ListExchange
-            Of the list of endpoints.
+            Exchange of the endpoint list.
         backlog_client : BacklogClient or None
-            Of prompts in line at them.
+            Exchange of the prompts that are queued at endpoints.
         """
         self._exchange = exchange
         self._backlog_client = backlog_client
@@ -159,16 +159,21 @@
             self._transport = None
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take a datagram: rows and a hint, or one message of another kind."""
+        """Decode a datagram and process its message.
+
+        A datagram holds rows with an announcement, or one message of another kind.
+        """
         self.received_bytes += len(data)
         try:
-            plain = data if data.startswith(_PLAIN) else zlib.decompress(data)
-            message = orjson.loads(plain)
-            self._take(message, addr[0])
+            content = (
+                data if data.startswith(_UNCOMPRESSED_START) else zlib.decompress(data)
+            )
+            message = orjson.loads(content)
+            self._dispatch(message, addr[0])
         except (zlib.error, *MALFORMED) as error:
             _LOG.warning("unreadable news", extra={"from": addr[0], "why": str(error)})
 
-    def _take(self, message: dict[str, Any], host: str) -> None:
+    def _dispatch(self, message: dict[str, Any], host: str) -> None:
         now = self._monotonic()
         exchange = self._exchange
         if "question" in message:
@@ -183,16 +188,16 @@
             if self._backlog_client is not None:
                 self._backlog_client.receive(host, message["backlog"])
         else:
-            self._take_rows(message, host, now)
+            self._receive_rows(message, host, now)
 
-    def _take_rows(self, message: dict[str, Any], host: str, now: float) -> None:
-        told, table = message["rows"], self._table
-        rows = [decode_row(raw) for raw in told if table.wants_row(*raw[:3])]
-        # Nodes that know of no cells tell no summaries.
+    def _receive_rows(self, message: dict[str, Any], host: str, now: float) -> None:
+        raw_rows, table = message["rows"], self._table
+        rows = [decode_row(raw) for raw in raw_rows if table.is_newer_row(*raw[:3])]
+        # Nodes of versions without cells send no summaries.
         summaries = [
             CellSummary.decode(raw)
             for raw in message.get("cells", ())
-            if table.wants_summary(*version_of(raw))
+            if table.is_newer_summary(*version_of(raw))
         ]
         announcement = ListAnnouncement.decode(message["hint"])
         self._clock.receive(message["from"], message["wall"], now)
@@ -207,37 +212,37 @@
         for row in rows:
             before = self._table.seen.get(row.node)
             if self._table.receive(row, now):
-                self._hot[row.node] = HOT_ROUNDS
-                self._on_news(row)
+                self._rows_to_forward[row.node] = FORWARD_ROUNDS
+                self._on_new_row(row)
                 if before is None or before.row.state is not row.state:
                     self.urgent = self.urgent or self._table.is_representative(now)
         for summary in summaries:
             if self._table.receive_summary(summary, now):
-                self._hot_cells[summary.cell] = HOT_ROUNDS
-                self._on_summary(summary)
+                self._cells_to_forward[summary.cell] = FORWARD_ROUNDS
+                self._on_new_summary(summary)
         if "ask" in message:
             self._send(
                 self._encode([encode_row(table.me)], self._announcement(), []), [host]
             )
-        if told and not table.in_cell(told[0][0]):
-            self._introduce(decode_row(told[0]), now)
+        if raw_rows and not table.in_cell(raw_rows[0][0]):
+            self._introduce(decode_row(raw_rows[0]), now)
 
     def _introduce(self, row: PeerRow, now: float) -> None:
-        """Tell a node of another cell whom it may ask, if it seems to know nobody.
+        """Send summaries to a node of another cell that seems to have no peers.
 
         Notes
         -----
-        A node that starts, or returns from behind a cut, tells seeds of itself, which
-        may all be of other cells and have no use for its row. Without an answer it
-        would name only itself to callers until it finds its own cell by chance.
+        A node that starts, or was partitioned, sends its row to seeds. All seeds can
+        be in other cells, which do not store the row. Without these summaries the node
+        would name only itself to callers until it finds its cell by chance.
         """
-        if self._table.knows(row.node, now):
+        if self._table.in_fresh_summary(row.node, now):
             return
         summaries = [seen.summary for seen in self._table.summaries.values()]
         if self._table.bits > 0:
             summaries.append(self._table.own_summary(now))
-        mine = cell_of(row.node, self._table.bits)
-        summaries.sort(key=lambda summary: summary.cell != mine)
+        receiver_cell = cell_of(row.node, self._table.bits)
+        summaries.sort(key=lambda summary: summary.cell != receiver_cell)
         encoded = [summary.encode() for summary in summaries]
         for data in self._packets(
             [encode_row(self._table.me)], encoded, self._announcement()
@@ -245,18 +250,18 @@
             self._send(data, [row.host])
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore refusals: a port without a listener is a node that is down."""
+        """Ignore refused datagrams: the node at that port is down."""
 
     def run_round(self, seeds: Sequence[str], to_all: bool = False) -> None:
-        """Tell some nodes this node's row and what it has lately heard.
+        """Send this node's row and recently received rows to some nodes.
 
         Parameters
         ----------
         seeds : sequence of str
-            Hosts that may know others.
+            Hosts that may have more peers than this node.
         to_all : bool
-            Tell every node of this cell; for news that must not wait, such as a
-            shutdown. The speaker tells the other cells.
+            Send to every node of this cell, for changes that must not wait, such as a
+            shutdown. The representative sends them to the other cells.
         """
         if self._transport is None:
             return
@@ -269,18 +274,18 @@
         others += table.contacts.values()
         targets = alive if to_all else pick_targets(alive, silent, others, self._rng)
         if table.is_representative(now):
-            self._send_elsewhere([table.own_summary(now).encode()], FANOUT, now)
-        hot = self._hot_summaries()
-        for data in self._message(hot):
+            self._send_to_other_cells([table.own_summary(now).encode()], FANOUT, now)
+        summaries = self._summaries_to_send()
+        for data in self._round_datagrams(summaries):
             self._send(data, targets)
-        if hot and not to_all:
-            self._send_elsewhere(hot, FANOUT_ELSEWHERE, now)
+        if summaries and not to_all:
+            self._send_to_other_cells(summaries, FANOUT_OTHER_CELLS, now)
         self.send_crashes()
         overdue = table.overdue(now)
         if overdue:
             own = [encode_row(table.me)]
             message = self._encode(own, self._announcement(), [], ask=True)
-            self._send(message, overdue[:MOST_ASKED])
+            self._send(message, overdue[:MAX_ROW_REQUESTS])
 
     def send_crashes(self) -> None:
         """Send records of crashes to some nodes of any cell."""
@@ -292,21 +297,21 @@
             return
         hosts = [row.host for row in self._table.alive(now)]
         targets = self._rng.sample(hosts, min(CRASH_FANOUT, len(hosts)))
-        # The list of rows is empty but present: older nodes cannot read news without.
+        # Older versions reject a message without a list of rows, so send an empty one.
         data = self._encode([], self._announcement(), [], crashes=records)
         self._send(data, targets)
 
     def broadcast_row(self) -> None:
-        """Tell every node of this cell this node's row and nothing else."""
+        """Send only this node's row to every node of this cell."""
         alive = [row.host for row in self._table.alive_rows(self._monotonic())]
         announcement = self._announcement(departures=True)
         self._send(self._encode([encode_row(self._table.me)], announcement, []), alive)
 
-    def _send_elsewhere(
-        self, summaries: list[list[Any]], most: int, now: float
+    def _send_to_other_cells(
+        self, summaries: list[list[Any]], max_hosts: int, now: float
     ) -> None:
-        hosts = [member.host for member in self._table.alive_elsewhere(now)]
-        targets = self._rng.sample(hosts, min(most, len(hosts)))
+        hosts = [member.host for member in self._table.alive_in_other_cells(now)]
+        targets = self._rng.sample(hosts, min(max_hosts, len(hosts)))
         if not targets:
             return
         for data in self._packets([], summaries, self._announcement()):
@@ -315,43 +320,45 @@
     def send_announcement(
         self, hosts: Sequence[str], announcement: ListAnnouncement
     ) -> None:
-        """Tell some nodes of this node's list out of turn."""
+        """Send an announcement of this node's endpoint list between two rounds."""
         self._send(self._encode([], announcement, []), hosts)
 
     def send_read_notice(
         self, hosts: Sequence[str], announcement: ListAnnouncement
     ) -> None:
-        """Tell some nodes that this node begins to read the store."""
+        """Notify some nodes that this node begins to read the store."""
         self._send(self._encode([], announcement, [], reading=True), hosts)
 
     def send_changes_request(
         self, hosts: Sequence[str], request: ChangesRequest
     ) -> None:
-        """Ask some nodes what this node's list lacks."""
+        """Ask some nodes for the changes that are missing from this node's list."""
         self._send(_pack({"question": request.encode()}), hosts)
 
     def send_changes_reply(self, host: str, reply: ChangesReply) -> None:
-        """Answer a node's question."""
+        """Reply to a node's request for changes."""
         self._send(_pack({"answer": reply.encode()}), [host])
 
     def send_backlog(self, host: str, message: list[Any]) -> None:
-        """Send a node a message of the survey of prompts in line, uncompressed.
+        """Send a node an uncompressed message about queued prompts.
 
         Notes
         -----
-        Several go with each request; to compress a hundred bytes takes longer than
-        all else that a node does with them.
+        Each request causes several such messages. To compress the hundred bytes of one
+        takes longer than the rest of its processing.
         """
         self._send(orjson.dumps({"backlog": message}), [host])
 
     def send_permits(self, hosts: Sequence[str], messages: list[list[Any]]) -> None:
         """Send messages about endpoint limits and permits to the given hosts.
 
-        They are a separate field of an uncompressed datagram without rows, which nodes
-        that do not know the field accept.
+        They are a separate field of an uncompressed datagram without rows. Nodes of
+        versions without this field accept the datagram.
         """
         self._send(
-            orjson.dumps(self._news([], self._announcement(), [], permits=messages)),
+            orjson.dumps(
+                self._row_message([], self._announcement(), [], permits=messages)
+            ),
             hosts,
         )
 
@@ -363,34 +370,34 @@
             self.sent_bytes += len(data)
             self.sent_datagrams += 1
 
-    def _message(self, summaries: list[list[Any]]) -> list[bytes]:
+    def _round_datagrams(self, summaries: list[list[Any]]) -> list[bytes]:
         rows = [encode_row(self._table.me)]
-        hot = list(self._hot)
-        self._rng.shuffle(hot)
-        for node in hot[: MAX_ROWS - 1]:
+        nodes = list(self._rows_to_forward)
+        self._rng.shuffle(nodes)
+        for node in nodes[: MAX_ROWS - 1]:
             seen = self._table.seen.get(node)
             if seen is not None:
                 rows.append(encode_row(seen.row))
-            self._hot[node] -= 1
-            if self._hot[node] <= 0:
-                del self._hot[node]
+            self._rows_to_forward[node] -= 1
+            if self._rows_to_forward[node] <= 0:
+                del self._rows_to_forward[node]
         return self._packets(rows, summaries, self._announcement(departures=True))
 
-    def _hot_summaries(self) -> list[list[Any]]:
-        """Return the summaries that are still passed on, each a few times."""
+    def _summaries_to_send(self) -> list[list[Any]]:
+        """Return this cell's summary, if due, and received ones to forward."""
         found = []
         now = self._monotonic()
         if self._table.is_representative(now):
             found.append(self._table.own_summary(now).encode())
-        hot = list(self._hot_cells)
-        self._rng.shuffle(hot)
-        for cell in hot[:MAX_ROWS]:
+        cells = list(self._cells_to_forward)
+        self._rng.shuffle(cells)
+        for cell in cells[:MAX_ROWS]:
             seen = self._table.summaries.get(cell)
             if seen is not None:
                 found.append(seen.summary.encode())
-            self._hot_cells[cell] -= 1
-            if self._hot_cells[cell] <= 0:
-                del self._hot_cells[cell]
+            self._cells_to_forward[cell] -= 1
+            if self._cells_to_forward[cell] <= 0:
+                del self._cells_to_forward[cell]
         return found
 
     def _packets(
@@ -399,7 +406,7 @@
         summaries: list[list[Any]],
         announcement: ListAnnouncement,
     ) -> list[bytes]:
-        """Return rows and summaries in as few datagrams as they fit in."""
+        """Return datagrams with all rows and summaries, split by size if necessary."""
         data = self._encode(rows, announcement, summaries)
         if len(data) <= MAX_DATAGRAM_BYTES or len(rows) + len(summaries) <= 1:
             return [data]
@@ -414,12 +421,18 @@
         return [data for part in parts for data in self._packets(*part, announcement)]
 
     def _announcement(self, departures: bool = False) -> ListAnnouncement:
-        """Return what to tell of the list of endpoints.
+        """Return the announcement of this node's endpoint list.
+
+        Parameters
+        ----------
+        departures : bool
+            Include recent departures of endpoints.
 
         Notes
         -----
-        A departure is told in a few datagrams and no more. Those to a single node must
-        not use them up, or most others learn of it later than the bound allows.
+        Each departure is included in a limited number of datagrams. Datagrams to one
+        node leave departures out. Otherwise most nodes would receive a departure later
+        than the bound on leaving endpoints allows.
         """
         if self._exchange is None:
             return ListAnnouncement(Offset(0), NEVER_S)
@@ -435,16 +448,16 @@
         summaries: list[list[Any]],
         **fields: Any,
     ) -> bytes:
-        return _pack(self._news(rows, announcement, summaries, **fields))
+        return _pack(self._row_message(rows, announcement, summaries, **fields))
 
-    def _news(
+    def _row_message(
         self,
         rows: list[list[Any]],
         announcement: ListAnnouncement,
         summaries: list[list[Any]],
         **fields: Any,
     ) -> dict[str, Any]:
-        """Return a message with rows and any additional fields."""
+        """Return a message with rows and the given additional fields."""
         return {
             "from": self._table.me.node,
             "wall": self._clock.own,
--- a/poplarrelay/entry/peer_rows.py
+++ b/poplarrelay/entry/peer_rows.py
@@ -1,4 +1,4 @@
-"""A node's row: what it says of itself to the nodes of its cell."""
+"""Row of a node: the state that it sends to the nodes of its cell."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class NodeState(Enum):
-    """Where a node stands in its life."""
+    """Phase of a node's lifetime."""
 
     STARTING = "starting"
     READY = "ready"
@@ -30,24 +30,24 @@
 
 @dataclass(slots=True)
 class PeerRow:
-    """What a node says of itself.
+    """State of a node, as the node itself reports it.
 
     Attributes
     ----------
     incarnation : Incarnation
-        Time of the process's start in ms and a random part; sorts by start.
+        Start time of the process in ms, followed by a random part; sorts by start.
     version : int
-        Raised by the node itself with every round.
+        Number that the node increases in every round.
     host : str
-        Its IP number; ports are the same on all nodes.
+        IP address of the node; ports are the same on all nodes.
     usage : dict
-        Requests that began, by window and team.
+        Number of requests that began, by window and team.
     spent : dict
-        Quota that it has used since its start, by team.
+        Quota that the node has used since its start, by team.
     loads : dict
-        Its requests at each endpoint.
+        Number of the node's requests at each endpoint.
     demand : dict
-        Tokens a second that its callers ask of each service.
+        Tokens per second that the node's callers request from each service.
     """
 
     node: NodeId
@@ -63,12 +63,12 @@
     demand: dict[ServiceName, int] = field(default_factory=dict)
 
     def newer_than(self, other: PeerRow) -> bool:
-        """Return whether this row replaces another of the same node."""
+        """Return whether this row is newer than another row of the same node."""
         return (self.incarnation, self.version) > (other.incarnation, other.version)
 
 
 def encode_row(row: PeerRow) -> list[Any]:
-    """Return a row as a list for JSON; lists spare the field names."""
+    """Return a row as a list for JSON; a list needs no field names."""
     return [
         row.node,
         row.incarnation,
@@ -85,7 +85,7 @@
 
 
 def decode_row(raw: list[Any]) -> PeerRow:
-    """Return the row that a list holds; raises `ValueError` if it is none."""
+    """Return the row that a list encodes; raise `ValueError` if it encodes none."""
     node, incarnation, version, host, domain, state, configuration, usage, *rest = raw
     spent, loads, demand = rest
     return PeerRow(
@@ -104,5 +104,5 @@
 
 
 def reporter_of(row: PeerRow) -> str:
-    """Return the name under which one process of a node reports its use."""
+    """Return the name under which one process of a node reports its usage."""
     return f"{row.node}/{row.incarnation}"
--- a/poplarrelay/entry/peer_sync.py
+++ b/poplarrelay/entry/peer_sync.py
@@ -1,4 +1,4 @@
-"""Learning from peers what the platform's store does not tell this node."""
+"""Reads of peers' state, for changes that the store does not give to this node."""
 
 from __future__ import annotations
 
@@ -23,28 +23,29 @@
 _LOG = logging.getLogger("poplarrelay.entry.sync")
 
 STATE_PATH = "/v1/state"
-#: Seconds between looks at what peers know.
-LOOK_S = 0.25
-#: Age of the list of endpoints, as a part of the time after which a leaving endpoint
-#: may get nothing more, from which a peer is asked for its whole list: by then neither
-#: the store nor the peers' datagrams have renewed it.
-STALE = 0.8
-#: Seconds between such reads.
-ENDPOINTS_S = 0.8
+#: Seconds between checks whether a peer has newer state.
+POLL_INTERVAL_S = 0.25
+#: Age of the endpoint list, as a fraction of the bound on leaving endpoints, from which
+#: this node reads a peer's complete list. By then neither the store nor datagrams of
+#: peers have confirmed the list.
+STALE_FRACTION = 0.8
+#: Seconds between reads of a peer's complete list.
+LIST_READ_INTERVAL_S = 0.8
 CONNECT_TIMEOUT_S = 0.5
-ANSWER_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 8_000_000
+REPLY_TIMEOUT_S = 1.0
+MAX_REPLY_BYTES = 8_000_000
 
 
 def encode_state(
     state: EntryState, endpoints: EndpointList, known_version: int
 ) -> bytes:
-    """Return what this node knows, for a peer that knows less.
+    """Return this node's endpoint list and configuration as JSON, for a peer.
 
     Parameters
     ----------
     known_version : int
-        The peer's configuration; it is sent only if it is older.
+        Version of the peer's configuration. This node's configuration is included only
+        if its version is later.
     """
     value: dict[str, Any] = {
         "endpoints_age_s": state.freshness.reported_age_s(monotonic()),
@@ -66,18 +67,20 @@
 
 @dataclass(slots=True)
 class PeerSync:
-    """Reads other nodes' state where it is newer than this node's.
+    """Client that reads the state of other nodes if it is newer than this node's.
 
     Attributes
     ----------
     control_port : int
         Port of the nodes' control listeners, the same on all nodes.
+    endpoints_read_at : float
+        Monotonic time of the last read of a peer's list of endpoints.
 
     Notes
     -----
-    The store may refuse some nodes and serve the others. A node that was refused
-    would keep a route or a key in force that operators have removed; the version
-    that peers name in their news shows that there is a newer one.
+    The store can refuse some nodes and serve the others. Without this class, a refused
+    node would keep using a route or key that operators have removed. The configuration
+    versions in peers' rows show that there is a newer configuration.
     """
 
     state: EntryState
@@ -86,22 +89,22 @@
     endpoints_read_at: float = float("-inf")
 
     async def run(self) -> None:
-        """Look at the peers' news until cancelled."""
+        """Read state of peers when necessary, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S * (0.8 + 0.4 * self.state.rng.random()))
+            await asyncio.sleep(POLL_INTERVAL_S * (0.8 + 0.4 * self.state.rng.random()))
             peer = self.peer_to_ask(monotonic())
             if peer is not None:
                 await self._read(peer)
 
     def peer_to_ask(self, now: float) -> str | None:
-        """Return the host of the peer to ask, None if there is nothing to ask for."""
+        """Return the host of a peer to read from, None if no read is necessary."""
         alive = self.state.peers.alive(now)
         newer = [row.host for row in alive if row.configuration > self._version]
         if newer:
             return self.state.rng.choice(newer)
         freshness = self.state.freshness
-        stale = freshness.age_s(now) > STALE * freshness.times.bound_s
-        if stale and alive and now - self.endpoints_read_at > ENDPOINTS_S:
+        stale = freshness.age_s(now) > STALE_FRACTION * freshness.times.bound_s
+        if stale and alive and now - self.endpoints_read_at > LIST_READ_INTERVAL_S:
             return self.state.rng.choice(alive).host
         return None
 
@@ -112,29 +115,29 @@
 
     async def _read(self, host: str) -> None:
         client = JsonClient(
-            (host, self.control_port), CONNECT_TIMEOUT_S, MAX_ANSWER_BYTES
+            (host, self.control_port), CONNECT_TIMEOUT_S, MAX_REPLY_BYTES
         )
-        asked_at = monotonic()
+        sent_at = monotonic()
         target = f"{STATE_PATH}?version={self._version}"
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 response = await client.call("GET", target, [], b"")
             value = orjson.loads(response.body)
         except (ExchangeFailed, TimeoutError, orjson.JSONDecodeError) as error:
-            _LOG.debug("peer unreadable", extra={"peer": host, "why": str(error)})
+            _LOG.debug("peer state unreadable", extra={"peer": host, "why": str(error)})
             return
         finally:
             client.close()
         content = value.get("configuration")
         if content is not None:
             apply_configuration(self.state, base64.b64decode(content), f"peer {host}")
-        self._take_endpoints(value, asked_at, host)
+        self._apply_endpoints(value, sent_at, host)
 
-    def _take_endpoints(
-        self, value: dict[str, Any], asked_at: float, peer: str
+    def _apply_endpoints(
+        self, value: dict[str, Any], sent_at: float, peer: str
     ) -> None:
         self.endpoints_read_at = monotonic()
-        listed_at = asked_at - value["endpoints_age_s"]
+        listed_at = sent_at - value["endpoints_age_s"]
         if listed_at <= self.state.freshness.confirmed_at:
             return
         as_of = Offset(value["endpoints_as_of"])
--- a/poplarrelay/entry/peers.py
+++ b/poplarrelay/entry/peers.py
@@ -1,4 +1,4 @@
-"""Table of nodes: rows of this node's cell, and summaries of the others."""
+"""Table of nodes: rows of nodes in this node's cell, summaries of other cells."""
 
 from __future__ import annotations
 
@@ -20,29 +20,30 @@
 
 __all__ = ["PeerTable", "SeenPeer", "SeenSummary", "choose_addresses"]
 
-#: Seconds without news after which a node is taken for dead. News reaches all of a
-#: cell within three rounds of 0.4 s; one lost round on the way must not count.
+#: Seconds without a new row after which a node counts as dead. A row reaches all nodes
+#: of a cell within three rounds of 0.4 s, and one lost round must not matter.
 SILENCE_S = 1.5
-#: Seconds without news after which a node is asked for its row itself, twice before it
-#: is taken for dead: news passed on at random misses one node in a thousand so long.
-ASK_S = 0.8
-#: Seconds without news of a cell after which all of its nodes are taken for dead. A
-#: speaker that ends is followed after `REPRESENTATIVE_SILENCE_S`, and what the next one
-#: says needs up to another second on its way.
+#: Seconds without a new row after which a node is asked for its row, twice before it
+#: counts as dead. Random forwarding misses one node in a thousand for this long.
+OVERDUE_S = 0.8
+#: Seconds without a summary of a cell after which all its nodes count as dead. Another
+#: node replaces a dead representative after `REPRESENTATIVE_SILENCE_S`, and its summary
+#: takes up to another second to arrive.
 CELL_SILENCE_S = 2.8
-#: Seconds without news after which a speaker's place is taken: two and a half rounds.
-#: Two that speak at once cost some datagrams; nobody, the sight of a whole cell.
+#: Seconds without a new row after which another node replaces the representative: two
+#: and a half rounds. Two representatives at once cost some datagrams; without one, the
+#: other cells lose the state of all nodes of the cell.
 REPRESENTATIVE_SILENCE_S = 1.0
-#: Seconds after which a silent node's row is forgotten. Until then its counts are
-#: still added up, and it is still told news in case it is only cut off.
+#: Seconds after which the row of a silent node is deleted. Until then its counts are
+#: still in the sums, and it still gets gossip, in case it is only unreachable.
 FORGET_S = 25.0
-#: Most addresses named to a caller.
-MOST_ADDRESSES = 64
+#: Most addresses in one reply to a caller.
+MAX_ADDRESSES = 64
 
 
 @dataclass(slots=True)
 class SeenPeer:
-    """A node's newest row and when it came.
+    """Newest row of a node and its time of arrival.
 
     Attributes
     ----------
@@ -54,45 +55,46 @@
     last_seen_at: float
 
     def alive(self, now: float) -> bool:
-        """Return whether the node has been heard lately."""
+        """Return whether the node's row is recent and the node has not stopped."""
         silent = now - self.last_seen_at > SILENCE_S
         return not silent and self.row.state is not NodeState.STOPPED
 
 
 @dataclass(slots=True)
 class SeenSummary:
-    """A cell's newest summary and the monotonic time at which it came."""
+    """Newest summary of a cell and the monotonic time of its arrival."""
 
     summary: CellSummary
     last_seen_at: float
 
     def fresh(self, now: float) -> bool:
-        """Return whether the cell has been heard lately."""
+        """Return whether the summary is recent."""
         return now - self.last_seen_at <= CELL_SILENCE_S
 
 
 @dataclass(slots=True)
 class PeerTable:
-    """The other nodes.
+    """Table of the other nodes.
 
     Attributes
     ----------
     me : PeerRow
         This node's own row.
     seen : dict of NodeId to SeenPeer
-        The other nodes of this node's cell.
+        Rows of the other nodes of this node's cell.
     bits : int
-        Bits that divide all nodes into cells; see `cells`.
+        Bits of the node hashes that divide the nodes into cells; see `cells`.
     summaries : dict of Cell to SeenSummary
-        The other cells.
+        Summaries of the other cells.
     contacts : dict of NodeId to str
-        Hosts of nodes that others name as being in this node's cell.
+        Hosts of nodes that summaries list in this node's cell and whose rows this node
+        has not received.
     """
 
     me: PeerRow
     seen: dict[NodeId, SeenPeer] = field(default_factory=dict)
-    #: Rows of processes that a restart of their node replaced: their counts of
-    #: usage still belong to windows that are not reported yet.
+    #: Rows of earlier processes of restarted nodes. Their usage counts still belong to
+    #: windows that are not reported yet.
     replaced: list[SeenPeer] = field(default_factory=list)
     bits: int = 0
     summaries: dict[Cell, SeenSummary] = field(default_factory=dict)
@@ -106,18 +108,18 @@
         return cell_of(self.me.node, self.bits)
 
     def in_cell(self, node: NodeId) -> bool:
-        """Return whether a node is of this node's cell."""
+        """Return whether a node belongs to this node's cell."""
         return self.bits == 0 or cell_of(node, self.bits) == self.cell
 
-    # hearing
+    # received rows and summaries
 
-    def wants_row(self, node: str, incarnation: str, version: int) -> bool:
-        """Return whether a row would be news, before it is decoded.
+    def is_newer_row(self, node: str, incarnation: str, version: int) -> bool:
+        """Return whether a row that is not decoded yet is newer than the known one.
 
         Notes
         -----
-        Three of four rows that arrive, and four of five summaries, are known already;
-        decoding them took a node among 83 an eighth of its processor time.
+        Three of four rows that arrive, and four of five summaries, are known already.
+        To decode them took an eighth of the processor time of a node among 83.
         """
         if node == self.me.node or not self.in_cell(NodeId(node)):
             return False
@@ -127,12 +129,12 @@
         row = known.row
         return (incarnation, version) > (row.incarnation, row.version)
 
-    def wants_summary(self, incarnation: str, version: int) -> bool:
-        """Return whether a summary would be news, before it is decoded."""
+    def is_newer_summary(self, incarnation: str, version: int) -> bool:
+        """Return whether a summary that is not decoded yet is newer."""
         return version > self._versions.get(Incarnation(incarnation), -1)
 
     def receive(self, row: PeerRow, now: float) -> bool:
-        """Take a row and return whether it is news; only of this node's cell."""
+        """Store a row if it is newer and of this cell; return whether it was stored."""
         if row.node == self.me.node or not self.in_cell(row.node):
             return False
         known = self.seen.get(row.node)
@@ -148,37 +150,40 @@
         return True
 
     def receive_summary(self, summary: CellSummary, now: float) -> bool:
-        """Take a summary and return whether it is news.
+        """Store a summary if it is newer; return whether it was stored.
 
         Notes
         -----
-        A copy of an old speaker's last summary may still be on its way when the next
-        speaker is heard; without the versions kept here it would count as news again,
-        and name nodes that are gone.
+        The last summary of an old representative can arrive after the first one of its
+        successor. The versions stored here reject it; otherwise it would replace the
+        new summary and list nodes that are gone.
         """
-        if not self.wants_summary(summary.incarnation, summary.version):
+        if not self.is_newer_summary(summary.incarnation, summary.version):
             return False
         self._versions[summary.incarnation] = summary.version
         if summary.cell == self.cell:
-            self._take_contacts(summary)
+            self._add_contacts(summary)
             return False
         known = self.summaries.get(summary.cell)
         if known is not None and known.summary.incarnation != summary.incarnation:
-            goes_first = summary.representative <= known.summary.representative
-            if not goes_first and now - known.last_seen_at <= REPRESENTATIVE_SILENCE_S:
+            has_precedence = summary.representative <= known.summary.representative
+            if (
+                not has_precedence
+                and now - known.last_seen_at <= REPRESENTATIVE_SILENCE_S
+            ):
                 return False
         self.summaries[summary.cell] = SeenSummary(summary, now)
         return True
 
-    def _take_contacts(self, summary: CellSummary) -> None:
-        """Note nodes of this node's own cell that it has not heard itself."""
+    def _add_contacts(self, summary: CellSummary) -> None:
+        """Add nodes of this cell whose rows this node has not received."""
         for member in summary.members:
             known = member.node == self.me.node or member.node in self.seen
             if not known and self.in_cell(member.node):
                 self.contacts[member.node] = member.host
 
     def forget(self, now: float) -> None:
-        """Drop the rows of nodes that have been silent for long."""
+        """Delete rows and summaries that have become too old."""
         silent = [n for n, s in self.seen.items() if now - s.last_seen_at > FORGET_S]
         for node in silent:
             del self.seen[node]
@@ -197,11 +202,11 @@
             }
 
     def resume_after_freeze(self, frozen_s: float) -> None:
-        """Give the others time to be heard after this node was frozen.
+        """Extend the time of arrival of all rows and summaries by a freeze.
 
         Notes
         -----
-        Without this a thawed node takes all others for dead and names only itself
+        Without this, a resumed node counts all others as dead and names only itself
         to callers.
         """
         for peer in self.seen.values():
@@ -210,83 +215,94 @@
             cell.last_seen_at += frozen_s
 
     def regroup(self, nodes: int, now: float) -> bool:
-        """Divide the nodes anew if their number asks for it, and return whether so.
+        """Change the number of cells if the number of nodes requires it.
+
+        Returns
+        -------
+        bool
+            Whether the cells have changed.
 
         Notes
         -----
-        Nodes learn of a new number one after the other. Until all have, summaries of
-        the old cells still tell who is alive, but their sums are not used.
+        Nodes change the cells one after the other. Until all have, summaries of the
+        old cells still show which nodes are alive, but their sums are not used.
         """
         bits = cell_bits(nodes, self.bits)
         if bits == self.bits:
             return False
         self.bits = bits
-        elsewhere = [s for n, s in self.seen.items() if not self.in_cell(n)]
-        for seen in elsewhere:
+        outside_cell = [s for n, s in self.seen.items() if not self.in_cell(n)]
+        for seen in outside_cell:
             del self.seen[seen.row.node]
         self.replaced = [s for s in self.replaced if self.in_cell(s.row.node)]
-        for cell in {cell_of(seen.row.node, bits) for seen in elsewhere}:
+        for cell in {cell_of(seen.row.node, bits) for seen in outside_cell}:
             if cell not in self.summaries:
-                self._stand_in(cell, [seen.row for seen in elsewhere], now)
+                self._add_provisional_summary(
+                    cell, [seen.row for seen in outside_cell], now
+                )
         for summary in [seen.summary for seen in self.summaries.values()]:
-            self._take_contacts(summary)
+            self._add_contacts(summary)
         self._epoch += 1
         return True
 
-    def _stand_in(self, cell: Cell, rows: list[PeerRow], now: float) -> None:
-        """Keep who was alive in a cell until its speaker is heard.
+    def _add_provisional_summary(
+        self, cell: Cell, rows: list[PeerRow], now: float
+    ) -> None:
+        """Add a summary of the live nodes of a cell until its representative sends one.
 
         Notes
         -----
-        Without it a node knows nobody elsewhere right after it has regrouped, and has
-        nobody to tell its summary: cells would find each other through seeds alone.
+        Without it, a node has no nodes of other cells right after a regrouping and
+        cannot send them its summary. Cells would find each other only through seeds.
         """
         listed = [row for row in rows if cell_of(row.node, cell.bits) == cell]
         summary = summarise(cell, listed[0], listed, (), version=0, epoch=0)
-        # So old that whatever the cell's speaker says replaces it.
+        # Old enough that any summary of the cell's representative replaces it.
         self.summaries[cell] = SeenSummary(
             summary, now - REPRESENTATIVE_SILENCE_S - 0.01
         )
 
-    # asking
+    # queries
 
     def alive_rows(self, now: float) -> list[PeerRow]:
-        """Return the rows of the nodes of this cell that have been heard lately."""
+        """Return the rows of the live nodes of this cell."""
         return [seen.row for seen in self.seen.values() if seen.alive(now)]
 
     def overdue(self, now: float) -> list[str]:
         """Return the hosts of nodes of this cell that will soon count as dead.
 
-        Those that have been silent for longest come first.
+        The hosts that have been silent for the longest time come first.
         """
         late = [
             seen
             for seen in self.seen.values()
-            if now - seen.last_seen_at > ASK_S and seen.alive(now)
+            if now - seen.last_seen_at > OVERDUE_S and seen.alive(now)
         ]
         return [seen.row.host for seen in sorted(late, key=lambda s: s.last_seen_at)]
 
     def alive(self, now: float) -> list[PeerRow | Member]:
-        """Return all nodes that have been heard lately, of this cell or told of."""
+        """Return the live nodes of this cell and of the other cells."""
         found: list[PeerRow | Member] = list(self.alive_rows(now))
         if self.summaries:
-            found += self.alive_elsewhere(now)
+            found += self.alive_in_other_cells(now)
         return found
 
-    def alive_elsewhere(self, now: float) -> list[Member]:
-        """Return the nodes of the other cells that are alive."""
-        told = {
+    def alive_in_other_cells(self, now: float) -> list[Member]:
+        """Return the live nodes of the other cells, from recent summaries."""
+        alive_members = {
             member.node: member
             for seen in self.summaries.values()
             if seen.fresh(now)
             for member in seen.summary.members
             if member.state is not NodeState.STOPPED
         }
-        told.pop(self.me.node, None)
-        return [member for node, member in told.items() if node not in self.seen]
+        alive_members.pop(self.me.node, None)
+        return [
+            member for node, member in alive_members.items() if node not in self.seen
+        ]
 
-    def knows(self, node: NodeId, now: float) -> bool:
-        """Return whether a node of another cell has been told of lately."""
+    def in_fresh_summary(self, node: NodeId, now: float) -> bool:
+        """Return whether a recent summary of another cell lists a node."""
         return any(
             member.node == node
             for seen in self.summaries.values()
@@ -295,7 +311,7 @@
         )
 
     def states(self) -> dict[NodeId, NodeState]:
-        """Return the last known state of each other node, silent ones included."""
+        """Return the last known state of each other node, including silent nodes."""
         found = {
             member.node: member.state
             for seen in self.summaries.values()
@@ -306,7 +322,7 @@
         return found
 
     def counted(self, now: float) -> list[PeerRow | CellSummary]:
-        """Return the live rows and fresh summaries, which count nobody twice."""
+        """Return the rows of live nodes and recent summaries; each node counts once."""
         found: list[PeerRow | CellSummary] = list(self.alive_rows(now))
         for seen in self.summaries.values():
             if seen.summary.cell.bits == self.bits and seen.fresh(now):
@@ -318,8 +334,8 @@
 
         Notes
         -----
-        Nobody can know the counts of windows before it; a report of zeros would
-        only be wrong.
+        No node has counts of windows before this time. A report of zeros for them
+        would be wrong.
         """
         rows = [self.me, *(s.row for s in (*self.seen.values(), *self.replaced))]
         starts = [start_of(row) for row in rows]
@@ -327,7 +343,7 @@
         return min(starts) / 1000
 
     def usage_reports(self) -> list[dict[WindowNumber, dict[TeamId, int]]]:
-        """Return the usage counts of all processes, dead ones included."""
+        """Return the usage counts of all processes, including dead ones."""
         rows = [self.me, *(s.row for s in (*self.seen.values(), *self.replaced))]
         reports = [row.usage for row in rows]
         for seen in self.summaries.values():
@@ -335,10 +351,10 @@
                 reports.append(seen.summary.usage)
         return reports
 
-    # speaking
+    # summary of this cell
 
     def is_representative(self, now: float) -> bool:
-        """Return whether this node is the one that speaks for its cell."""
+        """Return whether this node is the representative of its cell."""
         if self.bits == 0:
             return False
         return not any(
@@ -349,7 +365,7 @@
         )
 
     def own_summary(self, now: float) -> CellSummary:
-        """Return what this node's cell comes to."""
+        """Return the summary of this node's cell."""
         others = [s for s in self.seen.values() if now - s.last_seen_at <= SILENCE_S]
         left = [
             seen
@@ -357,36 +373,37 @@
             if seen.row.state is NodeState.STOPPED and seen not in others
         ]
         listed = [self.me, *(seen.row for seen in (*others, *left))]
-        every = (*self.seen.values(), *self.replaced)
-        counted = [self.me, *(seen.row for seen in every)]
+        all_seen = (*self.seen.values(), *self.replaced)
+        counted = [self.me, *(seen.row for seen in all_seen)]
         return summarise(
             self.cell, self.me, listed, counted, self.me.version, self._epoch
         )
 
 
 def choose_addresses(table: PeerTable, port: int, now: float, rng: Random) -> list[str]:
-    """Return the addresses that a caller may connect to.
+    """Return the addresses of nodes to which a caller can connect.
 
     Parameters
     ----------
     table : PeerTable
-        The nodes.
+        Table of the nodes.
     port : int
-        The callers' port, the same on all nodes.
+        Port for callers, the same on all nodes.
     now : float
         Monotonic time.
     rng : random.Random
-        Draws a sample where there are too many.
+        Random generator that samples the nodes if there are too many.
 
     Notes
     -----
-    Nodes that are ready; draining ones only where nothing else is left, since they
-    still serve for a moment and no answer at all would count as a failure.
+    The addresses are those of ready nodes. Draining nodes are returned only if no node
+    is ready: they still serve for a moment, and a reply without addresses would count
+    as a failure.
     """
     rows = [table.me, *table.alive(now)]
     chosen = [row for row in rows if row.state is NodeState.READY]
     if not chosen:
         chosen = [row for row in rows if row.state is NodeState.DRAINING]
-    if len(chosen) > MOST_ADDRESSES:
-        chosen = rng.sample(chosen, MOST_ADDRESSES)
+    if len(chosen) > MAX_ADDRESSES:
+        chosen = rng.sample(chosen, MAX_ADDRESSES)
     return [f"{row.host}:{port}" for row in chosen]
--- a/poplarrelay/entry/state.py
+++ b/poplarrelay/entry/state.py
@@ -1,4 +1,4 @@
-"""Tables of an entry node, owned by its event loop."""
+"""Tables of an entry node; only its event loop uses them."""
 
 from __future__ import annotations
 
@@ -25,39 +25,41 @@
 
 __all__ = ["EntryState"]
 
-#: Seconds over which the rate of ended requests is taken.
+#: Seconds over which the rate of ended requests is averaged.
 RATE_WINDOW_S = 3.0
-#: Seconds for which the largest number of nodes seen counts for shared budgets.
-NODES_MEMORY_S = 30.0
+#: Seconds for which the largest number of live nodes applies to shared budgets.
+NODE_COUNT_WINDOW_S = 30.0
 
 
 @dataclass(slots=True)
 class EntryState:
-    """All tables of one node.
+    """Tables of one node.
 
     Attributes
     ----------
     configuration : Configuration or None
-        What is in force here, None before any is known.
+        Configuration in force on this node, None before the first one.
     configuration_record : bytes
-        Its record, to be passed on to peers.
+        Encoded record of that configuration, which is sent to peers.
     configuration_at : float
-        Monotonic time at which it came into force.
+        Monotonic time at which that configuration came into force.
     freshness : ListFreshness
-        How old the list of endpoints is.
+        Age of the list of endpoints.
     endpoints_known : bool
-        Whether the list of endpoints has been read once.
+        Whether the list of endpoints has been read at least once.
     stopping_at : float or None
-        Monotonic time of the stop signal, None before it.
+        Monotonic time of the stop signal, None before the signal.
     listed : collection of NodeId or None
         Other nodes that the directory in the platform's store lists; None before it
         has been read.
-    ends : dict of ServiceName to deque of float
-        Times at which requests ended, for the rate at which places come free.
+    end_times : dict of ServiceName to deque of float
+        Monotonic times at which requests ended; they give the rate of freed slots.
     demand : DemandMeter
-        What this node's callers ask for.
+        Demand of this node's callers.
     crashes : CrashTable
         Crashes of endpoints during requests.
+    recent_node_counts : list of tuple of float and int
+        Times at which the number of live nodes changed, with the new number.
     """
 
     settings: EntrySettings
@@ -73,18 +75,18 @@
     endpoints_known: bool = False
     budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
     buckets: dict[TeamId, Bucket] = field(default_factory=dict)
-    ends: dict[ServiceName, deque[float]] = field(default_factory=dict)
+    end_times: dict[ServiceName, deque[float]] = field(default_factory=dict)
     demand: DemandMeter = field(default_factory=DemandMeter)
     crashes: CrashTable = field(default_factory=CrashTable)
     stopping_at: float | None = None
     listed: Collection[NodeId] | None = None
-    most_nodes: list[tuple[float, int]] = field(default_factory=list)
+    recent_node_counts: list[tuple[float, int]] = field(default_factory=list)
 
     @classmethod
     def from_settings(
         cls, settings: EntrySettings, incarnation: Incarnation, rng: Random
     ) -> EntryState:
-        """Return the empty tables of a node that starts."""
+        """Return empty tables for a node that starts."""
         usage = UsageCounts(settings.bounds.usage_window_s)
         me = PeerRow(
             node=NodeId(settings.node),
@@ -112,16 +114,16 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether this node takes callers."""
+        """Return whether this node accepts callers."""
         return self.me.state is NodeState.READY
 
     def apply_settings(self, settings: EntrySettings) -> None:
-        """Put changed settings in force.
+        """Apply changed settings.
 
         Notes
         -----
-        Budgets keep what they remember: one that forgot its retries at every reload
-        would allow a whole window of them again.
+        Retry budgets keep their history. A budget without it would allow the retries of
+        a full window again after every reload.
         """
         self.settings = settings
         self.freshness.times = ListTimes.from_config(settings.bounds)
@@ -131,7 +133,7 @@
             budget.window_s = settings.bounds.retry_window_s
 
     def budget(self, service: ServiceName) -> RetryBudget:
-        """Return a service's retry budget, made if there is none."""
+        """Return a service's retry budget; create it if necessary."""
         found = self.budgets.get(service)
         if found is None:
             bounds = self.settings.bounds
@@ -142,7 +144,7 @@
         return found
 
     def bucket(self, team: Team, now: float) -> Bucket | None:
-        """Return a team's bucket, None if it has no quota."""
+        """Return a team's quota bucket, None if the team has no quota."""
         if team.quota is None:
             return None
         found = self.buckets.get(team.name)
@@ -154,67 +156,71 @@
         return found
 
     def note_end(self, service: ServiceName, now: float) -> None:
-        """Note that a request of a service has ended."""
-        self.ends.setdefault(service, deque(maxlen=500)).append(now)
+        """Record that a request of a service has ended."""
+        self.end_times.setdefault(service, deque(maxlen=500)).append(now)
 
     def end_rate(self, service: ServiceName, now: float) -> float:
-        """Return how many requests of a service have lately ended in a second."""
-        times = self.ends.get(service, ())
+        """Return the recent rate of ended requests of a service, per second."""
+        times = self.end_times.get(service, ())
         return sum(1 for at in times if now - at <= RATE_WINDOW_S) / RATE_WINDOW_S
 
     def count_nodes(self, now: float) -> int:
-        """Return the largest number of nodes that have lately been alive together."""
+        """Return the largest recent number of live nodes, including this one."""
         alive = 1 + len(self.peers.alive(now))
-        kept = [(at, n) for at, n in self.most_nodes if now - at < NODES_MEMORY_S]
-        if not kept or kept[-1][1] != alive:
-            kept.append((now, alive))
-        self.most_nodes = kept
-        return max(n for _, n in kept)
+        recent = [
+            (at, n)
+            for at, n in self.recent_node_counts
+            if now - at < NODE_COUNT_WINDOW_S
+        ]
+        if not recent or recent[-1][1] != alive:
+            recent.append((now, alive))
+        self.recent_node_counts = recent
+        return max(n for _, n in recent)
 
     @property
     def total_nodes(self) -> int:
-        """Return how many nodes there are, as far as this one knows.
+        """Return the number of nodes, including silent ones and this one.
 
         Notes
         -----
-        A node that was stopped in order has left; one that is only silent may be
-        serving callers behind a cut.
+        A node that stopped cleanly does not count. A silent node counts: it can be
+        partitioned and still serve callers.
         """
         states = self.peers.states()
         stopped = sum(state is NodeState.STOPPED for state in states.values())
         return 1 + max(len(states), len(self.listed or ())) - stopped
 
     def coordinators(self) -> dict[NodeId, str]:
-        """Return the hosts of the nodes that keep count of engines' prompts."""
+        """Return the hosts of nodes that can be coordinators of endpoints."""
         rows = [self.me, *self.peers.alive(monotonic())]
         ready = {r.node: r.host for r in rows if r.state is NodeState.READY}
         return ready or {self.me.node: self.me.host}
 
     def reachable_fractions(self) -> tuple[float, float]:
-        """Return the fractions of all nodes that this node hears, and that one node is.
+        """Return the fractions of all nodes that are alive, and that one node is.
 
         Notes
         -----
-        The node counts itself as heard. Scaling a limit by the first fraction keeps
-        groups of nodes that are cut off from each other within the limit together.
+        The live nodes include this one. If each node scales a limit by the first
+        fraction, partitioned groups of nodes together stay within the limit.
         """
         alive = 1 + len(self.peers.alive(monotonic()))
         total = max(alive, self.total_nodes)
         return alive / total, 1 / total
 
     def total_demand(self, service: ServiceName, now: float) -> float:
-        """Return the tokens a second that the callers of all nodes ask for."""
-        told = [self.me, *self.peers.counted(now)]
-        return float(sum(each.demand.get(service, 0) for each in told))
+        """Return the demand of the callers of all nodes, in tokens per second."""
+        reports = [self.me, *self.peers.counted(now)]
+        return float(sum(report.demand.get(service, 0) for report in reports))
 
     def sum_loads(self, now: float) -> None:
-        """Add up what the other nodes have at each endpoint, and divide its slots."""
+        """Sum the other nodes' requests at each endpoint, and divide its slots."""
         nodes = self.count_nodes(now)
         for row in self.endpoints.rows.values():
             row.elsewhere = 0
             row.slot_share = max_slots_per_node(row.slots, nodes)
-        for told in self.peers.counted(now):
-            for endpoint, count in told.loads.items():
+        for report in self.peers.counted(now):
+            for endpoint, count in report.loads.items():
                 found = self.endpoints.rows.get(endpoint)
                 if found is not None:
                     found.elsewhere += count
--- a/poplarrelay/entry/tests/test_departures.py
+++ b/poplarrelay/entry/tests/test_departures.py
@@ -1,9 +1,9 @@
-"""Endpoints that leave: within which time every node stops sending to them.
+"""Endpoints that leave: every node stops sending requests to them within a bound.
 
-What callers saw: a request reached an endpoint over three seconds after the store had
-acknowledged its departure; it ran, and a little later it would have been cut off. The
-node chose the endpoint from a list that it took for fresh, or knew to be old and used
-as if it were not. Each test plays one way into that, with the store sound throughout.
+A request reached an endpoint over three seconds after the store had acknowledged its
+departure. It ran, but a little later the endpoint's end would have aborted it. The node
+took an old list for recent, or knew that it was old and ignored this. Each test covers
+one cause, with a store that works.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
     run_scenario,
 )
 
-#: Seconds after the store's acknowledgement from which a leaving endpoint may get
-#: nothing more, as in the settings of the test's nodes.
+#: Seconds after the store's acknowledgement from which a leaving endpoint must get no
+#: requests, as in the settings of the test's nodes.
 BOUND_S = 2.0
 TOPIC = "keyed.servers"
 
@@ -38,7 +38,7 @@
 
 
 async def start(site: EntrySite) -> None:
-    """Add two endpoints, and wait until all nodes know them and each other."""
+    """Add two endpoints, and wait until all nodes have them and each other's rows."""
     for runner in ("r1", "r2"):
         await site.add_runner(runner, CALLS)
     for name in site.nodes:
@@ -48,7 +48,7 @@
 
 
 async def assert_left_within_bound(site: EntrySite, node: str, acked_at: float) -> None:
-    """Check that a node stops sending to r1 in time, and goes on sending to r2."""
+    """Check that a node stops sending to r1 in time, and still sends to r2."""
     state = site.nodes[node].state
     await poll_until(lambda: not accepts(state, "r1"), "departure known")
     assert monotonic() - acked_at <= BOUND_S
@@ -57,11 +57,10 @@
 
 @pytest.mark.parametrize("record", ["removed", "leaving"])
 def test_one_unanswered_read_does_not_hide_a_departure(record):
-    # One read of one node gets no answer, as on a busy link. Meanwhile an endpoint
-    # leaves. The node read the list when it was up to 1.2 s old, waited 1.2 s for the
-    # answer, took its own trouble for an outage of the store, and kept a record that
-    # had rightly gone for 2.3 s more (`record did not come back` in its log, where
-    # all other nodes said `record removed`).
+    # An endpoint leaves while one read of one node gets no reply, as on a busy link. If
+    # the node reads when its list is 1.2 s old, waits 1.2 s for the reply and takes the
+    # silence for an outage of the store, it keeps the removed record for 2.3 s more. Its
+    # log then says `record did not come back`, those of other nodes `record removed`.
     async def scenario():
         async with run_entry_site() as site:
             await start(site)
@@ -78,11 +77,11 @@
     run_scenario(scenario)
 
 
-def test_news_that_waited_on_the_way_does_not_make_a_list_fresh():
-    # News to node b waits for 2.5 s before b reads it. Each tells that a peer has
-    # confirmed the list just now; b counted that from the arrival, never read the
-    # store, and sent to an endpoint that had left 2.5 s and more before. The store
-    # answers b all the time: an age that b cannot know must not keep it from asking.
+def test_delayed_gossip_does_not_confirm_a_list():
+    # Gossip to node b arrives 2.5 s late and says that a peer has just confirmed the
+    # list. If b counts the age from the arrival, it never reads the store and sends to
+    # an endpoint that left 2.5 s ago or earlier. b does not know the delay of gossip,
+    # so gossip must not delay its reads. The store answers b throughout.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await start(site)
@@ -96,9 +95,9 @@
     run_scenario(scenario)
 
 
-def test_departure_in_a_history_that_was_dropped_is_known_in_time():
-    # The store drops its history, and with it the removal of an endpoint's record that
-    # this node has not read yet. Reading on is refused, so the newest records are read.
+def test_departure_in_dropped_history_is_known_in_time():
+    # The store drops its history, including a removal that this node has not read, and
+    # refuses a read from the old offset. The node must read the newest records instead.
     async def scenario():
         async with run_entry_site() as site:
             await start(site)
@@ -109,9 +108,9 @@
     run_scenario(scenario)
 
 
-def test_request_whose_endpoint_leaves_while_it_connects_goes_elsewhere(monkeypatch):
-    # A new connection takes up to 0.6 s, and the endpoint's departure becomes known in
-    # that time. Nothing has been sent: a booking may still go to the other endpoint.
+def test_request_retries_if_endpoint_leaves_while_connecting(monkeypatch):
+    # A new connection takes up to 0.6 s. The endpoint's departure becomes known in that
+    # time, before the request is sent, so a booking can still use the other endpoint.
     async def scenario():
         async with run_entry_site() as site:
             await start(site)
@@ -134,9 +133,10 @@
     run_scenario(scenario)
 
 
-def test_node_that_cannot_vouch_for_its_list_prefers_endpoints_that_answered(caplog):
-    # The store answers nobody for longer than the bound, and there are no peers. Any
-    # endpoint may have left but the one that has just answered; the log says so.
+def test_node_with_old_list_prefers_endpoints_that_answered(caplog):
+    # Without peers, and without replies from the store for longer than the bound, any
+    # endpoint can have left except one that has just answered. Guards against requests
+    # to the others, and against a missing log line.
     async def scenario():
         async with run_entry_site() as site:
             await start(site)
@@ -163,16 +163,16 @@
 
 
 async def _keep_reading(state: EntryState) -> None:
-    """Let a node read the store twice a second, as many nodes together do."""
+    """Make a node read the store twice a second, as many nodes together do."""
     while True:
         state.freshness.invalidate()
         await asyncio.sleep(0.5)
 
 
-def test_departure_reaches_a_node_that_the_store_refuses_within_tenths():
-    # The store does not answer node b. An endpoint leaves, and node a reads it. b asked
-    # a peer for its whole list when its own was 1.6 s old; news of the departure itself
-    # was not passed on, so b was the last to know by two seconds.
+def test_departure_reaches_node_without_store_within_half_second():
+    # The store does not answer node b, and node a reads that an endpoint leaves. If
+    # nodes do not forward departures, b reads a peer's complete list only when its own
+    # is 1.6 s old, and gets the departure two seconds after all others.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await start(site)
--- a/poplarrelay/entry/tests/test_lists.py
+++ b/poplarrelay/entry/tests/test_lists.py
@@ -1,8 +1,8 @@
-"""What nodes conclude from records, in whatever order and by whichever way they come.
+"""Endpoint lists of nodes, for records in any order from the store and from peers.
 
-What callers saw: requests to endpoints that had left, and refusals while endpoints that
-the store held got none. Nodes replaced their lists by those of peers that they took for
-newer; here every record counts by its place in the store alone.
+The tests guard against requests to endpoints that have left, and against refusals while
+endpoints in the store get no requests. Both happened when nodes replaced their lists by
+lists of peers that only seemed newer. Only the offset of a record in the store decides.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 )
 
 from poplarrelay.entry.configuration import ServiceName
-from poplarrelay.entry.endpoint_list import COMEBACK_S, EndpointChange
+from poplarrelay.entry.endpoint_list import LAPSE_GRACE_S, EndpointChange
 from poplarrelay.identifiers import EndpointId, Offset
 from poplarrelay.testing.endpoint_lists import EndpointListNetwork, endpoint_record
 
@@ -29,7 +29,7 @@
 
 
 def network(count: int = 2) -> EndpointListNetwork:
-    """Return nodes that have all read the same two endpoints."""
+    """Return a network whose nodes have all read the same two endpoints."""
     found = EndpointListNetwork.of(count, Random(3))
     for name in ("r1", "r2"):
         found.write(name, endpoint_record())
@@ -38,9 +38,9 @@
     return found
 
 
-def test_older_list_of_a_peer_removes_nothing_that_came_later():
-    # A peer's list is from before r3 came. It was taken for newer than this node's by
-    # its age, and r3 got no request until the next read of the store.
+def test_older_peer_list_does_not_remove_newer_endpoint():
+    # Guards against r3 without requests until the next read of the store: a peer's list
+    # from before r3 was written seems newer than this node's by its age.
     lists = network()
     mine, peer = lists.nodes.values()
     lists.write("r3", endpoint_record())
@@ -50,7 +50,8 @@
     assert mine.uses("r3")
 
 
-def test_older_list_of_a_peer_brings_back_nothing_that_left():
+def test_older_peer_list_does_not_restore_removed_endpoints():
+    # Guards against requests to endpoints that left after the peer's list was made.
     lists = network()
     mine, peer = lists.nodes.values()
     older = peer.endpoints.all()
@@ -62,7 +63,8 @@
     assert not mine.uses("r2")
 
 
-def test_newer_list_of_a_peer_takes_out_what_is_gone():
+def test_newer_peer_list_removes_missing_endpoints():
+    # Guards against requests to an endpoint whose removal only the peer has read.
     lists = network()
     mine, peer = lists.nodes.values()
     lists.write("r1", None)
@@ -72,9 +74,9 @@
     assert mine.uses("r2")
 
 
-def test_heartbeat_that_only_this_node_read_keeps_an_endpoint():
-    # The same record again is no news to tell others, but it is later than a list that
-    # does not hold the endpoint.
+def test_heartbeat_read_only_by_this_node_keeps_endpoint():
+    # Guards against the removal of a live endpoint. This node has read a heartbeat that
+    # changes nothing, but is later than a peer's list without the endpoint.
     lists = network()
     mine, peer = lists.nodes.values()
     as_of = peer.state.freshness.as_of
@@ -85,10 +87,10 @@
     assert mine.uses("r1")
 
 
-def test_own_trouble_is_told_from_an_outage_by_a_peer():
-    # A node got no answers for long, alone. A record went meanwhile: it takes that for
-    # the effect of an outage, keeps the endpoint, and asks. A peer that saw the record
-    # go while the store was there settles it at once.
+def test_peer_corrects_removal_mistaken_for_outage_lapse():
+    # Only one node gets no replies from the store, and a record is removed meanwhile.
+    # The node takes this for an outage and keeps the endpoint. A peer that read the
+    # removal while the store was available must correct it at once.
     lists = network()
     mine, peer = lists.nodes.values()
     lists.write("r1", None)
@@ -103,11 +105,11 @@
     assert not mine.uses("r1")
 
 
-def test_one_nodes_trouble_keeps_no_endpoint_in_use_at_others():
-    # A node on a busy link got no answers for 2.3 s, from the store or from peers. A
-    # reclaim took a record meanwhile, and that node was the first to read it: it took
-    # that for an outage, told the others, and 74 nodes kept the endpoint for 2 s more.
-    # Their lists were less than a second old, so they know that there was no outage.
+def test_failed_reads_of_one_node_keep_no_removed_endpoint():
+    # A node on a busy link got no replies, from the store or from peers, for 2.3 s. It
+    # was the first to read a removal by a reclaim and reported an outage. 74 nodes kept
+    # the endpoint for 2 s more, although their lists were less than a second old, which
+    # excludes an outage.
     lists = network(5)
     first, *others = lists.nodes.values()
     for _ in range(4):
@@ -128,8 +130,9 @@
     assert not any(node.uses("r1") for node in lists.nodes.values())
 
 
-def test_record_that_lapsed_for_all_may_come_back():
-    # The store was away for all. No node can vouch that the record went for good.
+def test_record_lapsed_on_all_nodes_is_kept_for_grace_time():
+    # Guards against a lost live endpoint. The store was unavailable to all nodes, so no
+    # node can tell whether the removal of the record is final.
     lists = network()
     lists.write("r1", None)
     lists.now += 5.0
@@ -137,7 +140,7 @@
         node.reads_failed_s = 4.0
         node.read()
         node.reads_failed_s = 0.0
-    lists.run(COMEBACK_S - 0.5, step_s=0.02, latency_s=0.01)
+    lists.run(LAPSE_GRACE_S - 0.5, step_s=0.02, latency_s=0.01)
     assert all(node.uses("r1") for node in lists.nodes.values())
     lists.now += 0.6
     for node in lists.nodes.values():
@@ -145,9 +148,10 @@
     assert not any(node.uses("r1") for node in lists.nodes.values())
 
 
-def test_late_news_of_a_lapse_does_not_end_the_wait_for_another():
-    # Two nodes saw the same record go in an outage, one by its removal, one since it
-    # was missing in the list of all. The later of the two does not count as its end.
+def test_second_lapse_report_does_not_end_grace_time():
+    # Two nodes report the same lapse in an outage with different offsets: one read the
+    # removal, the other a list without the record. The second report must not remove
+    # the endpoint.
     lists = network(1)
     (mine,) = lists.nodes.values()
     lists.now += 5.0
@@ -157,9 +161,9 @@
     assert mine.uses("r1")
 
 
-def test_later_run_under_the_same_id_starts_afresh():
-    # An endpoint crashed and started again under its id. Nothing that was learned of
-    # the run before holds: its limits, its failures, the requests at it.
+def test_new_run_under_same_id_resets_all_state():
+    # Guards against state of the previous run after an endpoint has crashed and
+    # restarted under its id: its limits, its failures and its running requests.
     lists = network()
     mine = lists.nodes["n0"]
     lists.write("r1", endpoint_record(born=1000))
@@ -177,7 +181,8 @@
     assert mine.state.endpoints.of(again.service).count(again) == 1
 
 
-def test_run_at_another_address_replaces_the_one_before():
+def test_record_with_another_address_replaces_run():
+    # Guards against requests to the old address or for the old service.
     lists = network()
     mine = lists.nodes["n0"]
     lists.write("r1", endpoint_record(address="10.9.0.7:7007", service="drafts"))
@@ -189,8 +194,9 @@
     ]
 
 
-def test_earlier_run_never_comes_back():
-    # Its record is written late, after the next run's, or after that one has left.
+def test_record_of_earlier_run_is_ignored():
+    # Guards against requests to a run that has ended. Its record is written late, after
+    # the record of the next run or after the removal of that record.
     lists = network()
     mine = lists.nodes["n0"]
     lists.write("r1", endpoint_record(born=2000))
@@ -203,7 +209,9 @@
     assert not mine.uses("r1")
 
 
-def test_foreign_record_takes_out_the_one_id_until_the_next_good_one(caplog):
+def test_unreadable_record_removes_only_its_endpoint(caplog):
+    # Another writer overwrites the record of r1. Guards against the loss of r2, a log
+    # line per heartbeat, and an r1 that does not return with its next valid record.
     lists = network()
     mine, peer = lists.nodes.values()
     for sequence in range(3):
@@ -223,12 +231,12 @@
 
 @settings(derandomize=True, max_examples=150, stateful_step_count=40, deadline=None)
 class ListMachine(RuleBasedStateMachine):
-    """Endpoints come, leave, start again and vanish; nodes read, ask and tell.
+    """State machine of endpoints that change and nodes that exchange their lists.
 
-    Messages are delivered in any order, late, or never; the history may be dropped, so
-    that a node reads the newest records only; nodes pass whole lists on, old ones
-    too. Whatever a node takes its list for must hold: it knows each record that was
-    there as of the time and the offset that it believes in, or a later one.
+    Endpoints start, leave, restart and disappear. Messages arrive in any order, late or
+    never. Nodes read all later records or only the newest ones, and send complete
+    lists, including old ones. For each endpoint, a node must use the newest record that
+    its list claims to cover by time and offset, or a later one.
     """
 
     def __init__(self):
@@ -340,7 +348,7 @@
 
 
 def _usable(content: bytes | None) -> tuple[str, str, int] | None:
-    """Return where and at which run a record allows requests, None if it does not."""
+    """Return host, service and run to which a record allows requests, or None."""
     if content is None or b"ready" not in content or b"many" in content:
         return None
     value = orjson.loads(content)
--- a/poplarrelay/entry/tests/test_nodes.py
+++ b/poplarrelay/entry/tests/test_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that come, leave, freeze and lose each other."""
+"""Nodes that start, stop, freeze and lose contact with each other."""
 
 import asyncio
 from random import Random
@@ -19,9 +19,9 @@
 )
 
 
-def test_callers_are_told_the_nodes_that_serve():
-    # Three nodes start; one dies without a word. The others name it until it has been
-    # silent for a while, and a new one as soon as it serves.
+def test_resolve_lists_serving_nodes():
+    # Guards against callers that get the address of a dead node, or miss a new one. A
+    # killed node sends nothing; the others name it until its row is too old.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await site.ready("a")
@@ -35,9 +35,9 @@
     run_scenario(scenario)
 
 
-def test_nodes_find_each_other_without_seeds():
-    # All seeds of a new node are gone. It finds the others by what they have written
-    # to the store.
+def test_node_finds_peers_without_reachable_seeds():
+    # Guards against a node that stays alone because all its seeds are gone. It finds
+    # the others in the directory in the store.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             await site.ready("a")
@@ -48,10 +48,10 @@
     run_scenario(scenario)
 
 
-def test_stopping_node_finishes_what_runs_and_is_named_no_more():
-    # A node gets the stop signal while it passes a stream on. The stream ends whole;
-    # new callers are sent elsewhere at once, and those with an older answer are
-    # still served, with a word to use another connection.
+def test_stopping_node_finishes_streams_and_is_not_resolved():
+    # A node gets the stop signal while it relays a stream. Guards against a truncated
+    # stream, new callers at this node, and refusals of callers that still have its
+    # address. Those are served with `Connection: close`.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             runner = await site.add_runner("r1", STREAMS, events=20, pause_s=0.05)
@@ -74,9 +74,10 @@
     run_scenario(scenario)
 
 
-def test_stopping_node_refuses_what_it_could_not_finish():
-    # A caller still has the address of a node that was told to stop a while ago. Its
-    # stream might be cut by the node's end: it is refused as not run, to go elsewhere.
+def test_stopping_node_refuses_streams_it_could_not_finish():
+    # A caller still uses the address of a node that got the stop signal 4 s ago. The
+    # end of the node could truncate the stream. The refusal says that the request has
+    # not run, so the caller can use another node.
     async def scenario():
         async with run_entry_site(nodes=1) as site:
             runner = await site.add_runner("r1", STREAMS)
@@ -92,9 +93,9 @@
     run_scenario(scenario)
 
 
-def test_stopping_node_ends_within_its_grace():
-    # An endpoint never ends its work. The node gives the rest up before the platform
-    # kills it.
+def test_stopping_node_ends_within_grace_time():
+    # Guards against a node that waits for an endpoint that hangs until the platform
+    # kills the node. It must abandon such requests in time.
     async def scenario():
         async with run_entry_site(nodes=1, stop_grace_s=3) as site:
             runner = await site.add_runner("r1", CALLS)
@@ -109,9 +110,9 @@
     run_scenario(scenario)
 
 
-def test_thawed_node_does_not_take_its_peers_for_dead():
-    # The node stood still for a minute. Its table says that nobody has been heard;
-    # naming only itself would send all callers to one node.
+def test_node_does_not_count_peers_dead_after_freeze():
+    # After a freeze of a minute all rows in the node's table are old. Guards against a
+    # node that names only itself, which would send all callers to one node.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await site.ready("a")
@@ -120,7 +121,7 @@
             node = site.nodes["a"]
             for seen in node.state.peers.seen.values():
                 seen.last_seen_at -= 60
-            # At once: news that comes meanwhile would hide what the freeze did.
+            # Check at once: later gossip would hide the effect of the freeze.
             table = node.state.peers
             assert len(choose_addresses(table, 1, monotonic(), Random(1))) == 1
             node.resume_after_freeze(60.0)
--- a/poplarrelay/entry/tests/test_runs.py
+++ b/poplarrelay/entry/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under their id, and records of other writers."""
+"""Endpoints that restart under their id, and records of other writers."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 R1 = EndpointId("r1")
 
 
-def test_kept_connection_of_the_run_before_is_not_used_again():
-    # An endpoint crashes and starts again at its address. A request over a connection
-    # that was kept to the run before would be lost, and might have run.
+def test_idle_connection_to_previous_run_is_not_reused():
+    # An endpoint crashes and restarts at its address. A request over an idle connection
+    # to the previous run would fail, and the caller could not tell whether it has run.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
@@ -39,9 +39,9 @@
     run_scenario(scenario)
 
 
-def test_work_at_the_run_before_is_not_repeated_at_the_next():
-    # A call that must not be repeated is under way when its endpoint starts again. The
-    # new run knows nothing of it, and would run it a second time.
+def test_request_at_previous_run_is_not_repeated_at_next_run():
+    # An endpoint restarts during a request that must not be repeated. The new run has
+    # no record of the request and would run it a second time.
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -59,9 +59,9 @@
     run_scenario(scenario)
 
 
-def test_stream_goes_on_at_the_next_run():
-    # Only one endpoint serves. It starts again in the middle of a stream that may be
-    # resumed: the caller gets each event once.
+def test_stream_resumes_at_next_run():
+    # The only endpoint restarts in the middle of a resumable stream. Guards against
+    # lost and repeated events.
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=12, pause_s=0.05)
@@ -85,8 +85,9 @@
 
 
 @pytest.mark.parametrize("record", ["not a record", {"service": CALLS}, ["a"], 7])
-def test_foreign_records_take_no_other_endpoint_out_of_service(record):
-    # Another writer writes under ids of its own, and under that of an endpoint.
+def test_unreadable_records_remove_no_other_endpoint(record):
+    # Another writer writes records under its own id and under the id of an endpoint.
+    # Guards against nodes that reject all records because of one.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             for name in ("r1", "r2"):
@@ -108,10 +109,10 @@
     run_scenario(scenario)
 
 
-def test_endpoint_that_started_again_gets_one_request_meant_for_its_former_run():
-    # An endpoint crashes and starts again at its address under another id, and the
-    # list still shows the former run. It refuses what is meant for that at once, so
-    # it looks idle; only one caller may find that out, not all until the list is read.
+def test_restarted_endpoint_gets_one_request_for_previous_run():
+    # An endpoint restarts at its address under another id, and the list still shows the
+    # previous run. It refuses requests for that run at once, so it seems idle. Guards
+    # against all callers being sent there until the next read of the list.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
@@ -125,8 +126,8 @@
     run_scenario(scenario)
 
 
-def test_ended_run_is_avoided_until_the_list_shows_the_next_one():
-    # Guards against one more refused request each time that an avoidance ends.
+def test_ended_run_is_avoided_until_list_shows_next_run():
+    # Guards against one more refused request each time an avoidance ends.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
--- a/poplarrelay/entry/tests/test_store_troubles.py
+++ b/poplarrelay/entry/tests/test_store_troubles.py
@@ -1,4 +1,4 @@
-"""What nodes believe and do while the platform's store misbehaves."""
+"""Configuration, endpoint list and service of nodes while the store has faults."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 import pytest
 
 from poplarrelay.entry.configuration_follower import apply_configuration
-from poplarrelay.entry.endpoint_list import COMEBACK_S
+from poplarrelay.entry.endpoint_list import LAPSE_GRACE_S
 from poplarrelay.identifiers import EndpointId
 from poplarrelay.standins.users.store import Outage
 from poplarrelay.testing.entry_site import (
@@ -27,9 +27,9 @@
     return [*routes, {**routes[1], "name": "new", "pathPrefix": prefix}]
 
 
-def test_node_without_a_configuration_says_so():
-    # The store is away when the node starts. It must not claim that routes do not
-    # exist: it refuses with the time to come back, and is not ready.
+def test_node_without_configuration_is_not_ready():
+    # The store is unavailable when the node starts. Guards against a node that counts
+    # as ready, or answers that a route does not exist instead of 503.
     async def scenario():
         async with run_entry_site() as site:
             await site.ready()
@@ -44,7 +44,9 @@
     run_scenario(scenario)
 
 
-def test_change_is_in_force_at_once_and_never_goes_back():
+def test_configuration_applies_at_once_and_never_reverts():
+    # Guards against a node that uses the old routes after a change, or returns to an
+    # older version that is written later.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             await site.add_runner("r1", CALLS)
@@ -63,9 +65,9 @@
 
 
 @pytest.mark.parametrize("outage", [Outage.SILENT, Outage.BUSY, Outage.RESET])
-def test_node_that_the_store_refuses_learns_from_its_peers(outage):
-    # The store turns node b away and serves node a. Operators take away a key and
-    # an endpoint leaves: b learns both from a, and keeps serving.
+def test_node_without_store_learns_from_peers(outage):
+    # The store refuses node b and serves node a. Operators remove a key, and an
+    # endpoint leaves. Guards against a node b that does not get both from node a.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             for runner in ("r1", "r2"):
@@ -91,10 +93,10 @@
     run_scenario(scenario)
 
 
-def test_change_alone_reaches_a_node_that_the_store_refuses():
-    # The store turns node b away for good and serves node a. Nothing happens to the
-    # endpoints, so a's news confirms b's list of them, and b has no reason to ask for
-    # it. Operators take away a key: b must still learn that there is a newer version.
+def test_configuration_change_alone_reaches_node_without_store():
+    # The store refuses node b permanently. The endpoints do not change, so gossip of
+    # node a confirms the list of b, and b has no reason to read it from a. Operators
+    # remove a key; guards against a node b that misses the newer configuration.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             await site.add_runner("r1", CALLS)
@@ -110,9 +112,9 @@
     run_scenario(scenario)
 
 
-def test_older_version_never_comes_back():
-    # A read that is behind, or a peer that is, brings an older configuration. A key
-    # that was taken away in between must stay away.
+def test_older_configuration_is_ignored():
+    # A delayed read or a peer with old state brings an older configuration. Guards
+    # against the return of a key that operators have removed.
     async def scenario():
         async with run_entry_site() as site:
             await site.ready()
@@ -129,10 +131,10 @@
     run_scenario(scenario)
 
 
-def test_part_of_the_store_is_silent():
-    # Only the operators' topic gives node b no answers; its list of endpoints is
-    # fresh. It learns from the version in its peer's news that there is a newer
-    # configuration, and reads it there.
+def test_configuration_comes_from_peer_if_one_topic_is_silent():
+    # Node b gets no replies for the operators' topic only, so its list of endpoints is
+    # recent. It must read the configuration from its peer because the version in the
+    # peer's row is newer.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             for name in site.nodes:
@@ -146,7 +148,8 @@
     run_scenario(scenario)
 
 
-def test_requests_go_on_while_the_store_is_away():
+def test_requests_are_served_while_store_is_unavailable():
+    # Guards against requests that depend on a reply of the store.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
@@ -158,9 +161,9 @@
     run_scenario(scenario)
 
 
-def test_forgotten_history_is_read_again():
-    # The store drops all records but the newest of each key, with a change and an
-    # endpoint's end among them.
+def test_newest_records_are_read_after_history_is_dropped():
+    # The store drops all records but the newest of each key. Guards against a node that
+    # misses a change and the removal of an endpoint in the dropped records.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
@@ -179,10 +182,10 @@
     run_scenario(scenario)
 
 
-def test_entries_that_lapsed_in_an_outage_may_come_back():
-    # Both endpoints' records lapse while the store is away; one is written again at
-    # once after its return, the other never. The first must serve all the while, the
-    # second is gone after the time to come back.
+def test_records_lapsed_in_outage_are_kept_for_grace_time():
+    # The records of both endpoints lapse in an outage of the store; only one is written
+    # again after it. Guards against refusals although the first one serves throughout,
+    # and against a second one that stays in use after the grace time.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
@@ -200,13 +203,15 @@
             loop = asyncio.get_running_loop()
             returned = loop.time()
             await poll_until(lambda: set(rows) == {"r1"})
-            assert loop.time() - returned < COMEBACK_S + 1
+            assert loop.time() - returned < LAPSE_GRACE_S + 1
             assert (await site.call("/look/x")).status == 200
 
     run_scenario(scenario)
 
 
-def test_malformed_record_is_logged_and_changes_nothing(caplog):
+def test_malformed_record_is_logged_and_ignored(caplog):
+    # Guards against malformed records that stop the reading of later ones, or that are
+    # ignored without a log line.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
