--- a/poplarrelay/entry/endpoint_list.py
+++ b/poplarrelay/entry/endpoint_list.py
@@ -195,7 +195,7 @@
 
     @property
     def earliest_lapse(self) -> Offset | None:
-        """Return the first offset of the lapsed records of endpoints still in use."""
+        """Return the earliest offset of a lapsed record, None if there is none."""
         lapsed = [k.change_offset for e, k in self._known.items() if self._suspended(e)]
         return min(lapsed, default=None)
 
@@ -290,8 +290,8 @@
             return
         record, fault = self._decode(change, known)
         if known is not None and _is_redundant(record, known):
-            # There is nothing to send to peers. The later offset prevents that an older
-            # list removes the endpoint.
+            # There is nothing to send to peers. The later offset prevents an older list
+            # from removing the endpoint.
             known.offset = change.offset
             return
         self._known[change.endpoint] = _KnownRecord(
--- a/poplarrelay/entry/tests/test_departures.py
+++ b/poplarrelay/entry/tests/test_departures.py
@@ -58,9 +58,9 @@
 @pytest.mark.parametrize("record", ["removed", "leaving"])
 def test_one_unanswered_read_does_not_hide_a_departure(record):
     # An endpoint leaves while one read of one node gets no reply, as on a busy link. If
-    # the node reads when its list is 1.2 s old, waits 1.2 s for the reply and takes the
-    # silence for an outage of the store, it keeps the removed record for 2.3 s more. Its
-    # log then says `record did not come back`, those of other nodes `record removed`.
+    # the node reads when its list is 1.2 s old, waits 1.2 s for the reply and takes
+    # this for an outage of the store, it keeps the removed record for 2.3 s more. Its
+    # log then says `record did not come back`, others say `record removed`.
     async def scenario():
         async with run_entry_site() as site:
             await start(site)
