--- a/bench/entry_safeguards.py
+++ b/bench/entry_safeguards.py
@@ -251,7 +251,7 @@
     Safeguard(
         "earlier decisions are read",
         f"{ENTRY}/duty_worker.py",
-        "                self._ledger.take(record)\n",
+        "                self._ledger.add_record(record)\n",
         "                pass\n",
         "test_duties.py",
     ),
@@ -356,21 +356,22 @@
     Safeguard(
         "a confirmed list is as old as the peer's",
         f"{ENTRY}/list_exchange.py",
-        "asked_at - reply.age_s,",
-        "asked_at,",
+        "requested_at - reply.age_s,",
+        "requested_at,",
         "test_freshness.py test_lists.py",
     ),
     Safeguard(
         "an answer counts from the question",
         f"{ENTRY}/list_exchange.py",
-        "asked_at - reply.age_s,",
+        "requested_at - reply.age_s,",
         "now - reply.age_s,",
         "test_freshness.py test_lists.py",
     ),
     Safeguard(
         "departures are told at once",
         f"{ENTRY}/list_exchange.py",
-        "        self._urgent = URGENT_STEPS\n        self.wake()\n",
+        "        self._immediate_steps_left = IMMEDIATE_STEPS\n"
+        "        self.schedule_tick()\n",
         "",
         "test_freshness.py test_departures.py",
     ),
@@ -461,8 +462,8 @@
     Safeguard(
         "each peer's least delayed reading of the clock",
         f"{ENTRY}/clock.py",
-        "    return max(alive, default=None)\n",
-        "    return alive[-1] if alive else None\n",
+        "    return max(recent, default=None)\n",
+        "    return recent[-1] if recent else None\n",
         "test_clock.py",
     ),
     Safeguard(
@@ -580,15 +581,15 @@
     Safeguard(
         "a peer's read is waited for",
         f"{ENTRY}/list_exchange.py",
-        "        self.freshness.await_peer(now)\n",
+        "        self.freshness.wait_for_peer_read(now)\n",
         "        pass\n",
         "test_freshness.py",
     ),
     Safeguard(
         "no wait for a peer's read beyond the latest time",
         f"{ENTRY}/list_freshness.py",
-        "max(due_at, min(self.peer_reads_until, latest_at))",
-        "self.peer_reads_until",
+        "max(due_at, min(self.peer_read_expected_until, latest_at))",
+        "self.peer_read_expected_until",
         "test_freshness.py",
     ),
     Safeguard(
--- a/poplarrelay/entry/cells.py
+++ b/poplarrelay/entry/cells.py
@@ -1,12 +1,13 @@
-"""Cells: parts of the nodes that tell each other all, and the others a summary.
+"""Cells: groups of nodes that exchange full rows and send summaries to other cells.
 
 Notes
 -----
-A node tells its whole row to the nodes of its own cell alone. One node of each cell
-speaks for it: it adds up the rows and tells all others the sums and who is alive. A
-node so takes in the rows of its cell and one summary for each other cell: with 410
-nodes 42 pieces of news a round instead of 410. One cell holds all nodes of a small
-site, and nothing is summed up there.
+A node sends its row only to the nodes of its own cell. One node of each cell is its
+representative. The representative adds up the rows of the cell and sends the sums and
+the list of live nodes to all other cells. Each node therefore receives the rows of
+its own cell and one summary for each other cell. With 410 nodes this makes 42 updates
+a round instead of 410. On a small site one cell holds all nodes, and no summaries are
+needed.
 """
 
 from __future__ import annotations
@@ -33,26 +34,26 @@
     "version_of",
 ]
 
-#: Nodes of a cell on average, at the most. News of up to about 40 rows and summaries
-#: together reaches all within a second with three datagrams a round; with 26 that
-#: holds up to 410 nodes, and a site of two dozen has one cell.
-MOST_IN_CELL = 26
-#: Part of that at which cells are joined again. Nodes that come and go around the
-#: bound must not regroup all others each time.
-JOIN_SHARE = 0.6
-#: Bits of a node's hash that may tell cells apart: 4,096 cells.
-MOST_BITS = 12
+#: Largest average number of nodes in a cell. With three datagrams a round, up to about
+#: 40 rows and summaries reach all nodes within a second. A value of 26 keeps to this
+#: limit with up to 410 nodes, and two dozen nodes form one cell.
+MAX_AVERAGE_CELL_SIZE = 26
+#: Share of that size below which cells are merged. The gap between both bounds keeps
+#: nodes that start and stop near a bound from regrouping all nodes each time.
+MERGE_SHARE = 0.6
+#: Most bits of a node's hash that select its cell: 4,096 cells.
+MAX_CELL_BITS = 12
 
 
 class Cell(NamedTuple):
-    """One of the parts into which all nodes are divided.
+    """A group of nodes whose hashes start with the same bits.
 
     Attributes
     ----------
     bits : int
-        Bits of the nodes' hashes that tell the parts apart.
+        Number of leading bits of the hash that select the cell.
     number : int
-        Their value in this cell.
+        Value of these bits for all nodes of this cell.
     """
 
     bits: int
@@ -61,7 +62,7 @@
 
 @lru_cache(maxsize=4096)
 def cell_of(node: NodeId, bits: int) -> Cell:
-    """Return the cell of a node; all nodes find the same one without asking.
+    """Return the cell of a node, computed from the node's id alone.
 
     Examples
     --------
@@ -73,14 +74,14 @@
 
 
 def cell_bits(nodes: int, before: int) -> int:
-    """Return how many bits of their hashes divide the nodes into cells.
+    """Return the number of hash bits that divide the nodes into cells.
 
     Parameters
     ----------
     nodes : int
-        How many nodes there are.
+        Number of nodes.
     before : int
-        Bits that have divided them up to now.
+        Number of bits in use so far.
 
     Examples
     --------
@@ -90,16 +91,16 @@
     (1, 0)
     """
     bits = before
-    while nodes > MOST_IN_CELL << bits and bits < MOST_BITS:
+    while nodes > MAX_AVERAGE_CELL_SIZE << bits and bits < MAX_CELL_BITS:
         bits += 1
-    while bits > 0 and nodes < JOIN_SHARE * (MOST_IN_CELL << (bits - 1)):
+    while bits > 0 and nodes < MERGE_SHARE * (MAX_AVERAGE_CELL_SIZE << (bits - 1)):
         bits -= 1
     return bits
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A node of another cell, as its speaker tells of it."""
+    """A node of another cell, as reported by the representative of that cell."""
 
     node: NodeId
     host: str
@@ -109,22 +110,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CellSummary:
-    """What the speaker of a cell tells the nodes of the others.
+    """Sums over the rows of one cell, sent by its representative to other cells.
 
     Attributes
     ----------
     representative : NodeId
-        Who has added it up.
+        Node that computed the sums.
     incarnation : Incarnation
-        The speaker's process.
+        Incarnation of the representative's process.
     version : int
         Raised with each summary of that process.
     epoch : int
-        Raised when rows were left out that had been in the sums.
+        Raised when rows that were part of earlier sums are left out.
     started_ms : int
-        Time of day at which the earliest process of the cell started.
+        Time of day in ms at which the earliest process of the cell started.
     members : tuple of Member
-        Nodes of the cell that are alive or have left in order.
+        Nodes of the cell that are alive or have left after a clean stop.
     usage, spent, loads, demand : dict
         Sums over the rows of the cell; see `PeerRow`.
     """
@@ -143,16 +144,16 @@
 
     @property
     def run(self) -> str:
-        """Return a name under which its sums never fall but for refunds."""
+        """Return an id of the summaries whose sums fall only by refunds."""
         return f"{self.incarnation}/{self.epoch}"
 
     @property
     def alive(self) -> int:
-        """Return how many nodes of the cell are alive."""
+        """Return the number of live nodes of the cell."""
         return sum(each.state is not NodeState.STOPPED for each in self.members)
 
     def encode(self) -> list[Any]:
-        """Return a form for JSON; lists spare the field names."""
+        """Return the summary as a list for JSON; a list omits the field names."""
         return [
             *self.cell,
             self.representative,
@@ -169,7 +170,7 @@
 
     @classmethod
     def decode(cls, raw: list[Any]) -> CellSummary:
-        """Return the summary that a form for JSON holds; raises `ValueError`."""
+        """Return the summary from its JSON list; raise `ValueError` if invalid."""
         bits, number, representative, incarnation, version, epoch, started_ms, *rest = (
             raw
         )
@@ -190,7 +191,7 @@
 
 
 def version_of(raw: list[Any]) -> tuple[str, int]:
-    """Return a summary's incarnation and version from its form for JSON."""
+    """Return a summary's incarnation and version from its JSON list."""
     return str(raw[3]), int(raw[4])
 
 
@@ -215,11 +216,11 @@
     cell : Cell
         The cell.
     me : PeerRow
-        The speaker's row; one of `listed` and of `counted`.
+        Row of the representative; also in `listed` and `counted`.
     listed : iterable of PeerRow
-        Rows of nodes that are alive or have left in order.
+        Rows of nodes that are alive or have left after a clean stop.
     counted : iterable of PeerRow
-        Rows of all processes whose use still counts, dead ones included.
+        Rows of all processes whose usage still counts, including dead ones.
     version, epoch : int
         See `CellSummary`.
     """
@@ -228,17 +229,17 @@
     started_ms = start_of(me)
     for row in counted:
         started_ms = min(started_ms, start_of(row))
-        _add(spent, row.spent)
+        _add_values(spent, row.spent)
         for window, counts in row.usage.items():
-            _add(usage.setdefault(window, {}), counts)
+            _add_values(usage.setdefault(window, {}), counts)
     loads: dict[EndpointId, int] = {}
     demand: dict[ServiceName, int] = {}
     members = []
     for row in listed:
         members.append(Member(row.node, row.host, row.state, row.configuration))
         if row.state is not NodeState.STOPPED:
-            _add(loads, row.loads)
-            _add(demand, row.demand)
+            _add_values(loads, row.loads)
+            _add_values(demand, row.demand)
     return CellSummary(
         cell=cell,
         representative=me.node,
@@ -255,11 +256,11 @@
 
 
 def start_of(row: PeerRow) -> int:
-    """Return the time of day in ms at which a row's process started."""
+    """Return the time of day in ms at which the process of a row started."""
     return int(row.incarnation.partition("-")[0])
 
 
-def _add(sums: dict[Any, Any], values: Mapping[Any, Any]) -> None:
-    """Add numbers by key."""
+def _add_values(sums: dict[Any, Any], values: Mapping[Any, Any]) -> None:
+    """Add the values to the sums of the same keys, in place."""
     for key, value in values.items():
         sums[key] = sums.get(key, 0) + value
--- a/poplarrelay/entry/clock.py
+++ b/poplarrelay/entry/clock.py
@@ -1,4 +1,4 @@
-"""True time on a host whose own time of day may jump."""
+"""Time of day agreed between nodes, and detection of pauses of the process."""
 
 from __future__ import annotations
 
@@ -9,124 +9,131 @@
 
 __all__ = ["ClusterClock", "FreezeDetector"]
 
-#: Fewest peers whose clocks outvote this host's own.
-LEAST_VOTERS = 2
-#: Difference in seconds below which clocks count as equal; news takes some
-#: milliseconds, and hosts' clocks are never quite the same.
+#: Minimum number of peers with recent readings needed to correct this host's clock.
+MIN_PEERS = 2
+#: Difference in seconds up to which clocks count as equal. Datagrams take some
+#: milliseconds, and the clocks of hosts always differ a little.
 TOLERANCE_S = 0.25
-#: Seconds for which a peer's reading is used.
-READING_LIVES_S = 3.0
-#: Readings of a peer that are kept.
-MOST_READINGS = 4
+#: Age in seconds from which a clock reading of a peer is discarded.
+MAX_READING_AGE_S = 3.0
+#: Number of recent clock readings kept for each peer.
+MAX_READINGS_PER_PEER = 4
 
 
 class ClusterClock:
-    """The time of day on which most nodes agree.
+    """Clock that shows the median time of day of this node and its peers.
 
     Notes
     -----
-    The clock of a single host may jump by seconds, and usage would be counted into
-    the wrong window. Each node compares its clock with those that peers send; where
-    the median differs, the median counts. While less than half of the hosts are
-    wrong, the median is right.
-
-    Nobody can tell how long a reading was on its way, and each delay makes a peer's
-    clock seem to be behind. So of each peer's readings the one that was least delayed
-    counts: in a busy link the latest ones moved a node's time by more than half a
-    second, and usage was counted into the wrong window.
+    The clock of a single host can jump by seconds, and usage would then be counted in
+    the wrong window. Each node compares its clock with the times that peers send. If
+    the median differs from its own clock, the node uses the median. The median is
+    correct while less than half of the clocks are wrong.
+
+    The receiver does not know how long a reading was in flight, and each delay makes
+    the peer's clock look slow. Therefore only the least delayed reading of each peer is
+    used. When the latest readings were used instead, a busy link moved a node's time by
+    more than half a second, and usage was counted in the wrong window.
     """
 
     def __init__(self, wall: Callable[[], float] = time) -> None:
         self._wall = wall
         self._readings: dict[str, deque[tuple[float, float]]] = {}
         self._correction = 0.0
-        #: When the last reading came, and this host's clock against the monotonic one.
-        self._uncounted: tuple[float, float] | None = None
+        #: Arrival of the latest unprocessed reading (monotonic time), and the offset
+        #: of this host's clock from the monotonic clock at that time.
+        self._pending_reading: tuple[float, float] | None = None
 
     @property
     def own(self) -> float:
-        """Return this host's time of day, as it is."""
+        """Return this host's time of day without correction."""
         return self._wall()
 
     @property
     def correction(self) -> float:
-        """Return what is added to this host's time of day."""
-        self._vote()
+        """Return the seconds that `now` adds to this host's time of day."""
+        self._update_correction()
         return self._correction
 
     def now(self) -> float:
-        """Return the time of day on which most nodes agree."""
+        """Return this host's time of day with the correction added."""
         return self._wall() + self.correction
 
     def receive(self, peer: str, peer_wall: float, at: float) -> None:
-        """Take the time of day that a peer has just sent.
+        """Record the time of day in a datagram from a peer.
 
         Parameters
         ----------
         peer : str
-            Its name.
+            Name of the peer.
         peer_wall : float
-            What its own clock showed.
+            Time of day of the peer's own clock when it sent the datagram.
         at : float
             Monotonic time of arrival.
         """
-        # The reading is kept against the monotonic clock, which never jumps.
-        kept = self._readings.setdefault(peer, deque(maxlen=MOST_READINGS))
+        # The reading is stored relative to the monotonic clock, which never jumps.
+        kept = self._readings.setdefault(peer, deque(maxlen=MAX_READINGS_PER_PEER))
         kept.append((peer_wall - at, at))
-        self._uncounted = (at, self._wall() - at)
+        self._pending_reading = (at, self._wall() - at)
 
-    def _vote(self) -> None:
-        """Take the median of all readings, if any has come since the last time.
+    def _update_correction(self) -> None:
+        """Recompute the correction if a reading has arrived since the last call.
 
         Notes
         -----
-        Only when the time is asked for: with a vote for each reading a node among
-        195 spent 0.7% of a core on it.
+        This runs only when the time is requested. Recomputing the median for each
+        reading took 0.7% of a core on a site of 195 nodes.
         """
-        if self._uncounted is None:
+        if self._pending_reading is None:
             return
-        at, own = self._uncounted
-        self._uncounted = None
+        at, own = self._pending_reading
+        self._pending_reading = None
         readings = []
         for peer, kept in list(self._readings.items()):
-            offset = _least_delayed(kept, at)
+            offset = _least_delayed_offset(kept, at)
             if offset is None:
                 del self._readings[peer]
             else:
                 readings.append(offset)
-        if len(readings) < LEAST_VOTERS:
+        if len(readings) < MIN_PEERS:
             return
         difference = median([*readings, own]) - own
         self._correction = difference if abs(difference) > TOLERANCE_S else 0.0
 
 
-def _least_delayed(readings: Iterable[tuple[float, float]], now: float) -> float | None:
-    """Return by how much a peer's clock is ahead of the monotonic one, if known."""
-    alive = [offset for offset, heard in readings if now - heard < READING_LIVES_S]
-    return max(alive, default=None)
+def _least_delayed_offset(
+    readings: Iterable[tuple[float, float]], now: float
+) -> float | None:
+    """Return the offset of a peer's clock from the monotonic clock, None if unknown."""
+    recent = [
+        offset
+        for offset, received_at in readings
+        if now - received_at < MAX_READING_AGE_S
+    ]
+    return max(recent, default=None)
 
 
 class FreezeDetector:
-    """Notices that the process has not run for a while.
+    """Detector of pauses during which the process did not run.
 
     Notes
     -----
-    A frozen or suspended process knows nothing of what happened meanwhile: leases
-    may have lapsed and endpoints may have left. The monotonic clock stops during a
-    suspension, the boot clock does not.
+    After a pause the state of a process is stale: leases can have expired and endpoints
+    can have left. The monotonic clock stops while the host is suspended, but the boot
+    clock does not.
     """
 
     def __init__(self, threshold_s: float) -> None:
         self._threshold_s = threshold_s
-        self._last = self._reading()
+        self._last = self._read_clock()
 
     @staticmethod
-    def _reading() -> float:
+    def _read_clock() -> float:
         return max(clock_gettime(CLOCK_BOOTTIME), monotonic())
 
     def check(self) -> float:
-        """Return for how long the process has been frozen, 0 if it has not."""
-        now = self._reading()
+        """Return the length in seconds of a pause since the last check, 0 if none."""
+        now = self._read_clock()
         gap = now - self._last
         self._last = now
         return gap if gap > self._threshold_s else 0.0
--- a/poplarrelay/entry/configuration.py
+++ b/poplarrelay/entry/configuration.py
@@ -1,4 +1,4 @@
-"""What operators have put in force: routes, services, teams and limits."""
+"""Configuration set by operators: routes, services, teams and limits."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     "Team",
 ]
 
-#: A service's name in the configuration.
+#: Name of a service in the configuration.
 ServiceName = NewType("ServiceName", str)
-#: Number of a configuration; a larger one is newer.
+#: Version number of a configuration; a larger number is newer.
 ConfigurationVersion = NewType("ConfigurationVersion", int)
 
 
 class RouteKind(Enum):
-    """How the requests of a route may be treated."""
+    """Kind of a route, which decides whether its requests can be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """The part of a route's requests that one service gets."""
+    """Weight with which a route sends requests to one service."""
 
     service: ServiceName
     weight: float
@@ -47,24 +47,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests to one host below one path prefix.
+    """Rules for requests to one host whose path starts with one prefix.
 
     Attributes
     ----------
     timeout_s : float
-        Longest time that a caller is kept waiting.
+        Longest time that a caller waits.
     target_s : float
-        Time to the answer, or to a stream's first event, that callers aim for.
+        Target time until the response, or until the first event of a stream.
     priority : int
-        Rank of the requests; 0 goes first.
+        Rank of the requests; requests with rank 0 are served first.
     max_attempts : int
-        Endpoints to which one request may be sent.
+        Largest number of endpoints to which one request is sent.
     anonymous : bool
         Whether requests need no key.
     affinity : bool
         Whether requests share prompt prefixes.
     resumable : bool
-        Whether a broken stream may go on at another endpoint.
+        Whether another endpoint can continue a broken stream.
     """
 
     name: str
@@ -82,7 +82,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request of this route can safely run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLimits:
-    """What one model engine holds: concurrent requests and KV cache tokens."""
+    """Limits of one model engine: concurrent requests and KV cache tokens."""
 
     slots: int
     kv_tokens: int
@@ -103,13 +103,13 @@
     Attributes
     ----------
     least, most : int
-        Bounds on reclaimable and on-demand endpoints together.
+        Bounds on the total number of reclaimable and on-demand endpoints.
     boot_s : float
-        Time from an order until the endpoint serves.
+        Time from the order of an endpoint until it serves requests.
     reclaimable_price : float
-        Price of a reclaimable endpoint as a share of an on-demand one.
+        Price of a reclaimable endpoint as a fraction of the on-demand price.
     domain_prices : dict of DomainId to float
-        Price of an on-demand endpoint second, by failure domain.
+        Price of an on-demand endpoint per second, by failure domain.
     """
 
     least: int
@@ -131,16 +131,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """Tokens (or requests) that a team may use, over all nodes together.
+    """Token bucket of a team, shared by all nodes.
 
     Attributes
     ----------
     per_s, burst : float
-        Refill rate and size of the bucket; a rate of 0 means no limit.
+        Refill rate per second and size of the bucket; a rate of 0 means no limit.
     in_tokens : bool
-        Whether requests count by their tokens rather than one each.
+        Whether a request costs its number of tokens; otherwise it costs 1.
     default_cost : float
-        Cost of a request that states no tokens.
+        Cost of a request that states no number of tokens.
     """
 
     per_s: float
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A team with its callers' keys."""
+    """A team and the keys of its callers."""
 
     name: TeamId
     keys: frozenset[str]
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may take or stay idle."""
+    """Limits on the size of requests and on the time that callers take to send them."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of everything that operators set."""
+    """One version of the configuration."""
 
     version: ConfigurationVersion
     routes: tuple[Route, ...]
@@ -190,12 +190,12 @@
         teams: tuple[Team, ...],
         limits: CallerLimits,
     ) -> Configuration:
-        """Return a configuration with its look-up tables.
+        """Return a configuration with its lookup tables.
 
         Notes
         -----
-        Routes of a host are sorted by falling prefix length, so the first one
-        that matches is the longest. Lookup costs the routes of one host.
+        The routes of a host are sorted by descending prefix length, so the first match
+        has the longest prefix. A lookup scans only the routes of one host.
         """
         by_host: dict[str, list[Route]] = {}
         for route in routes:
--- a/poplarrelay/entry/configuration_follower.py
+++ b/poplarrelay/entry/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Following the configuration in the platform's store."""
+"""Reader that follows the configuration in the platform's store."""
 
 from __future__ import annotations
 
@@ -31,24 +31,25 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.following")
 
-#: Pause after a failed read, in seconds, doubled up to the longest with each failure.
+#: Seconds between reads after a failure: the first pause, doubled with each further
+#: failure up to the maximum.
 FIRST_PAUSE_S = 0.15
-LONGEST_PAUSE_S = 0.6
+MAX_PAUSE_S = 0.6
 
 
 class Dependency:
-    """Tells the log once when the store is lost and once when it is back."""
+    """Logger of the start and the end of each outage of a dependency."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._lost_at: float | None = None
 
     def lost_s(self, now: float) -> float:
-        """Return for how long calls have failed, 0 if the last one did not."""
+        """Return the seconds since calls began to fail, 0 if the last one succeeded."""
         return 0.0 if self._lost_at is None else now - self._lost_at
 
     def note_answer(self) -> None:
-        """Note an answer."""
+        """Record a successful call; it ends an outage."""
         now = monotonic()
         if self._lost_at is not None:
             _LOG.warning(
@@ -61,7 +62,7 @@
             self._lost_at = None
 
     def note_failure(self, error: PlatformUnavailable, sent_at: float) -> None:
-        """Note a failed call, and when it was sent."""
+        """Record a failed call; an outage starts when its first call was sent."""
         if self._lost_at is None:
             self._lost_at = sent_at
             _LOG.warning(
@@ -70,12 +71,12 @@
 
 
 def apply_configuration(state: EntryState, content: bytes, source: str) -> bool:
-    """Put a configuration in force if it is newer, and return whether it was.
+    """Apply a configuration if it is newer, and return whether it was applied.
 
     Notes
     -----
-    Versions only rise within a process. A read that is behind, or a peer that is,
-    must not bring back a route or a key that operators have taken away.
+    The version never falls within a process. A stale read or a stale peer must not
+    restore a route or a key that operators have removed.
     """
     try:
         configuration = decode_configuration(content)
@@ -103,18 +104,18 @@
 
 
 class ConfigurationFollower:
-    """Keeps up with the topic of the configuration.
+    """Task that reads the configuration topic and passes new records on.
 
     Parameters
     ----------
     store : Store
         The platform's store.
     dependency : Dependency
-        Notes answers and failures.
+        Records successful and failed reads.
     applier : ConfigurationApplier
-        Takes the records read.
+        Receives the records.
     wait_s : float
-        How long a read waits for the next record.
+        Seconds that a read waits in the store for the next record.
     """
 
     def __init__(
@@ -133,7 +134,7 @@
         self._next: Offset | None = None
 
     def resync(self) -> None:
-        """Read the newest record of every key before going on."""
+        """Make the next read fetch the newest record of every key."""
         self._next = None
 
     async def run(self) -> None:
@@ -148,7 +149,7 @@
                 continue
             except PlatformUnavailable as error:
                 self._dependency.note_failure(error, sent_at)
-                pause_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2**failures)
+                pause_s = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2**failures)
                 failures = min(failures + 1, 6)
                 await asyncio.sleep(pause_s * (0.5 + self._rng.random()))
                 continue
@@ -158,7 +159,7 @@
     async def _read(self) -> None:
         if self._next is None:
             records, self._next = await self._store.newest(CONFIGURATION_TOPIC)
-            self._applier.take(records)
+            self._applier.apply_records(records)
             return
         start = self._next
         page = await self._store.read(CONFIGURATION_TOPIC, 0, start, self._wait_s)
@@ -166,29 +167,29 @@
             return
         self._next = page.next
         if page.end < start:
-            # The store knows less than before: offsets mean nothing any more.
+            # The store has lost records, so earlier offsets are no longer valid.
             self._next = None
         elif page.records:
-            self._applier.take(parse_page(page, start))
+            self._applier.apply_records(parse_page(page, start))
 
 
 class ConfigurationApplier:
-    """Puts the configurations that a follower reads in force.
+    """Receiver of configuration records, which applies them to the node's state.
 
     Parameters
     ----------
     state : EntryState
-        The tables.
+        The node's tables.
     on_change : callable
-        Called after a read.
+        Called after each batch of records.
     """
 
     def __init__(self, state: EntryState, on_change: Callable[[], None]) -> None:
         self._state = state
         self._on_change = on_change
 
-    def take(self, records: list[KeyedRecord]) -> None:
-        """Take records of the operators' topic."""
+    def apply_records(self, records: list[KeyedRecord]) -> None:
+        """Apply the records of the configuration topic."""
         for record in records:
             if record.key == CONFIGURATION_KEY and record.value is not None:
                 apply_configuration(self._state, record.value, "store")
--- a/poplarrelay/entry/duty_worker.py
+++ b/poplarrelay/entry/duty_worker.py
@@ -1,4 +1,4 @@
-"""The duties that one node holds at a time, and usage reports as one of them."""
+"""Work that one node at a time does for all: usage reports and endpoint orders."""
 
 from __future__ import annotations
 
@@ -26,81 +26,82 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.duty")
 
-#: Group whose only partition in use stands for the duties, and its topic.
+#: Consumer group and topic in the store. The node to which the group assigns
+#: `DUTY_PARTITION` holds the duties.
 GROUP = "entry-duties"
 TOPIC = "entry-duties"
 DUTY_PARTITION = 0
-#: Time in seconds after which a silent holder loses the duty, and between renewals:
-#: three renewals fit in, so that two lost ones cost nothing.
-TTL_S = 2.2
-RENEW_S = 0.55
-#: Seconds after the start within which a node goes by the nodes that the store lists,
-#: since it has not heard who is alive: all would stand for the duties otherwise, and
-#: each that left again would have the store deal them anew.
-FIND_PEERS_S = 3.0
-#: Seconds between looks at what is to be done.
-ACT_S = 1.0
-#: Topic of the usage counts that have been decided.
+#: Seconds after which a holder that sends no renewal loses the duties, and seconds
+#: between renewals. Three renewals fit into the first, so two can be lost.
+LEASE_TTL_S = 2.2
+RENEWAL_INTERVAL_S = 0.55
+#: Seconds after the start during which a node uses the list of nodes in the store,
+#: since it does not know yet which peers are alive. Without the list all nodes would be
+#: candidates, and each one that leaves the group again makes the store rebalance it.
+PEER_DISCOVERY_S = 3.0
+#: Seconds between rounds of usage reports.
+REPORT_INTERVAL_S = 1.0
+#: Topic of the usage counts that are final.
 LEDGER_TOPIC = "entry-usage"
-#: Seconds after a window's end at which its counts are decided. News of the last
-#: requests needs about a second to reach the holder.
-SETTLE_S = 2.2
-#: Seconds after its end for which a window is still decided: beyond what is due, an
-#: old window is better reported late than not at all only for a short time.
-LATEST_S = 20.0
+#: Seconds from the end of a window until its counts are decided. Gossip about the last
+#: requests takes about a second to reach the holder.
+DECISION_DELAY_S = 2.2
+#: Seconds from the end of a window until it is no longer reported. A late report is
+#: still useful for a short time after it was due.
+MAX_WINDOW_AGE_S = 20.0
 
 
 @dataclass(slots=True)
 class UsageLedger:
-    """Usage counts that are decided for good.
+    """Final usage counts by window.
 
     Attributes
     ----------
     decided : dict
-        Counts by window. The first record of a window counts.
+        Counts by window, from the first record of each window.
     acknowledged : set of int
-        Windows whose report the platform has taken from this node.
+        Windows whose report from this node the platform has accepted.
 
     Notes
     -----
-    Two reports of a window with different counts must never be accepted. A report
-    whose answer was lost may have been accepted, so the counts are appended to the
-    store before the first report is sent, and every later report of that window, by
-    whichever node, repeats them. Appending is fenced by the duty's token: a holder
-    that was replaced cannot add to the ledger any more.
+    The platform must never accept two reports of one window with different counts. A
+    report can be accepted although its response is lost. Therefore the holder appends
+    the counts to the store before the first report, and all later reports of the window
+    from any node repeat these counts. The fencing token of the duties protects the
+    ledger: a holder that was replaced cannot append to it.
     """
 
     decided: dict[WindowNumber, dict[TeamId, int]] = field(default_factory=dict)
     acknowledged: set[WindowNumber] = field(default_factory=set)
 
-    def take(self, record: bytes) -> None:
-        """Take a record of the ledger."""
+    def add_record(self, record: bytes) -> None:
+        """Add a record of the ledger unless its window is known already."""
         value = orjson.loads(record)
         self.decided.setdefault(int(value["window"]), value["counts"])
 
     @staticmethod
     def encode(window: WindowNumber, counts: dict[TeamId, int]) -> bytes:
-        """Return the record of a window."""
+        """Return the ledger record of a window."""
         return orjson.dumps({"window": window, "counts": counts})
 
-    def forget(self, before: WindowNumber) -> None:
-        """Drop what is too old to be reported."""
+    def drop_before(self, before: WindowNumber) -> None:
+        """Drop all windows before the given one."""
         for window in [w for w in self.decided if w < before]:
             del self.decided[window]
         self.acknowledged = {w for w in self.acknowledged if w >= before}
 
 
 class DutyWorker:
-    """Takes part in the group of nodes that share the duties, and does them.
+    """Member of the duty group, which does the work while it holds the duties.
 
     Parameters
     ----------
     state : EntryState
         The node's tables.
     store : Store
-        Where the duty is held and counts are decided.
+        Store with the duty group and the usage ledger.
     cloud : CloudClient
-        Where usage is reported and endpoints are ordered.
+        Client that sends usage reports and endpoint orders.
     """
 
     def __init__(self, state: EntryState, store: Store, cloud: CloudClient) -> None:
@@ -108,8 +109,8 @@
         self._store = store
         self._cloud = cloud
         bounds = state.settings.bounds
-        ttl_s = max(TTL_S, state.settings.platform.group_ttl_min_ms / 1000)
-        # A process of this node may have acted just before a restart.
+        ttl_s = max(LEASE_TTL_S, state.settings.platform.group_ttl_min_ms / 1000)
+        # After a restart, the previous process may have acted a moment ago.
         last_action_at = float("-inf") if state.settings.first_start else monotonic()
         self._lease = DutyLease(
             ttl_s, bounds.lease_ms / 1000, last_action_at=last_action_at
@@ -132,16 +133,18 @@
         return self._lease
 
     async def renew_forever(self) -> None:
-        """Stay in the group until cancelled."""
+        """Renew the group membership until cancelled or retired."""
         while not self._retired:
-            if self._lease.held or self._stands(monotonic()):
+            if self._lease.held or self._is_candidate(monotonic()):
                 await self._renew()
-            await asyncio.sleep(RENEW_S * (0.9 + 0.2 * self._state.rng.random()))
+            await asyncio.sleep(
+                RENEWAL_INTERVAL_S * (0.9 + 0.2 * self._state.rng.random())
+            )
 
-    def _stands(self, now: float) -> bool:
-        """Return whether this node stands for the duties."""
+    def _is_candidate(self, now: float) -> bool:
+        """Return whether this node is a candidate for the duties."""
         state = self._state
-        if now - self._started_at < FIND_PEERS_S:
+        if now - self._started_at < PEER_DISCOVERY_S:
             return state.listed is not None and is_candidate(
                 state.me.node, state.listed
             )
@@ -155,7 +158,7 @@
                 GROUP, self._member, TOPIC, self._lease.ttl_s, self._lease.generation
             )
         except PlatformUnavailable as error:
-            _LOG.debug("renewal failed", extra={"why": str(error)})
+            _LOG.debug("duty renewal failed", extra={"why": str(error)})
             return
         holds = DUTY_PARTITION in share.partitions
         change = self._lease.renew(holds, share.generation, sent_at)
@@ -170,7 +173,7 @@
             )
 
     async def retire(self) -> None:
-        """Give the duties to another node, and take none again."""
+        """Leave the duty group for good, so that another node gets the duties."""
         self._retired = True
         await self._leave()
 
@@ -181,29 +184,30 @@
                 await self._store.leave(GROUP, self._member)
                 return
             except PlatformUnavailable as error:
-                _LOG.warning("duty not handed on yet", extra={"why": str(error)})
-                await asyncio.sleep(RENEW_S)
+                _LOG.warning("leaving duty group failed", extra={"why": str(error)})
+                await asyncio.sleep(RENEWAL_INTERVAL_S)
 
     async def report_forever(self) -> None:
-        """Report usage whenever this node holds the duties, until cancelled."""
+        """Report usage while this node holds the duties, until cancelled."""
         while True:
             if self._lease.may_act(monotonic()):
                 try:
-                    await self._prepare()
+                    await self._prepare_ledger()
                     await self._report_usage()
                 except PlatformUnavailable as error:
-                    _LOG.info("usage delayed", extra={"why": str(error)})
+                    _LOG.info("usage report delayed", extra={"why": str(error)})
                 except AppendRefused as error:
-                    await self._fenced(f"ledger: {error.reason}")
-            await asyncio.sleep(ACT_S)
+                    await self._step_down(f"ledger: {error.reason}")
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def order_forever(self) -> None:
-        """Order endpoints whenever this node holds the duties, until cancelled.
+        """Order endpoints while this node holds the duties, until cancelled.
 
         Notes
         -----
-        Apart from the reports: while answers of the platform are lost each call
-        takes its whole timeout, and orders would wait behind all open windows.
+        This loop is separate from the usage reports. While responses of the platform
+        are lost, each report blocks until it times out. In a common loop, the orders
+        would have to wait for the reports of all open windows.
         """
         while True:
             await self._endpoint_scaler.run_round()
@@ -211,30 +215,30 @@
 
     @property
     def _stamp(self) -> DutyStamp:
-        """Return what a call bears, and note that this node acts."""
+        """Return the stamp for a call to the platform, and record an action."""
         self._lease.record_action(monotonic())
         return DutyStamp(NodeId(self._state.me.node), self._lease.token)
 
-    async def _fenced(self, why: str) -> None:
-        """Step back after a refusal that shows a newer holder.
+    async def _step_down(self, why: str) -> None:
+        """Leave the group after a refusal that indicates a newer holder.
 
         Notes
         -----
-        Leaving the group makes this node join it anew, and hold the duty again only
-        under a larger token. Acting on with the old one would be refused for ever.
+        This node joins the group again later, and can then hold the duties only with a
+        larger token. Calls with the old token would always be refused.
         """
         _LOG.warning("duty refused", extra={"token": self._lease.token, "why": why})
         await self._leave()
 
     # usage
 
-    async def _prepare(self) -> None:
-        """Shut out earlier holders, and learn what they have decided.
+    async def _prepare_ledger(self) -> None:
+        """Fence earlier holders off from the ledger, then read their records.
 
         Notes
         -----
-        Once in a tenure: nobody else can append to the ledger until it ends, since
-        the empty append has raised the epoch above that of all earlier holders.
+        This runs once per lease term. The empty append raises the epoch above those of
+        all earlier holders, so no other node can append to the ledger during the term.
         """
         token = self._lease.token
         if self._prepared_token == token:
@@ -254,7 +258,7 @@
                 self._ledger_next = Offset(trimmed.start)
                 continue
             for record in page.records:
-                self._ledger.take(record)
+                self._ledger.add_record(record)
             self._ledger_next = page.next
             if not page.records or page.next >= page.end:
                 return
@@ -265,36 +269,36 @@
     async def _report_usage(self) -> None:
         window_s = self._state.usage.window_s
         wall = self._state.clock.now()
-        newest = int((wall - SETTLE_S) // window_s) - 1
-        oldest = int((wall - LATEST_S) // window_s)
+        newest = int((wall - DECISION_DELAY_S) // window_s) - 1
+        oldest = int((wall - MAX_WINDOW_AGE_S) // window_s)
         if self._pending is not None:
             await self._append_pending()
         for window in range(oldest, newest + 1):
             if window not in self._ledger.decided:
                 if (window + 1) * window_s <= self._state.peers.earliest_start():
                     continue
-                await self._decide(window)
+                await self._decide_window(window)
             if window not in self._ledger.acknowledged:
-                await self._report(window)
+                await self._report_window(window)
             if not self._lease.may_act(monotonic()):
                 return
-        self._ledger.forget(oldest)
+        self._ledger.drop_before(oldest)
 
-    async def _decide(self, window: WindowNumber) -> None:
+    async def _decide_window(self, window: WindowNumber) -> None:
         counts = merge_counts(self._state.peers.usage_reports(), window)
         self._pending = (window, counts)
         await self._append_pending()
 
     async def _append_pending(self) -> None:
-        """Append the counts that have been decided last.
+        """Append the pending counts to the ledger.
 
         Notes
         -----
-        An append without an answer may be carried out, now or later. Until one is
-        answered, only the same record may follow under its sequence number: with
-        newer counts, or those of the next window, the store would repeat its first
-        answer and keep the first record, and a successor would report other counts
-        than this node has.
+        The store can execute an append, at once or later, even if its response is lost.
+        Until an append is answered, this node must repeat the same record with the same
+        sequence number. If it sent newer counts or the next window instead, the store
+        would keep the first record and repeat its first response. The next holder would
+        then report different counts from this node.
         """
         assert self._pending is not None
         window, counts = self._pending
@@ -305,7 +309,7 @@
         self._ledger.decided[window] = counts
         _LOG.info("usage decided", extra={"window": window, "counts": counts})
 
-    async def _report(self, window: WindowNumber) -> None:
+    async def _report_window(self, window: WindowNumber) -> None:
         counts = self._ledger.decided[window]
         outcome, detail = await self._cloud.report_usage(self._stamp, window, counts)
         _LOG.info(
@@ -320,4 +324,4 @@
         if outcome is CloudOutcome.DONE:
             self._ledger.acknowledged.add(window)
         elif outcome is CloudOutcome.CONFLICT:
-            await self._fenced(f"usage: {detail}")
+            await self._step_down(f"usage: {detail}")
--- a/poplarrelay/entry/endpoints.py
+++ b/poplarrelay/entry/endpoints.py
@@ -1,4 +1,4 @@
-"""Table of endpoints: what they say of themselves and what this node sees."""
+"""Table of endpoints: their own records and this node's observations."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 
 @dataclass(slots=True)
 class Health:
-    """Signs of an endpoint's health, as this node's own requests show them.
+    """Health of an endpoint, as measured by this node's own requests.
 
     Attributes
     ----------
     failure_rate : float
-        Moving share of attempts that failed.
+        Moving average of the share of attempts that failed.
     failures_in_row : int
         Failures since the last success.
     avoided_until : float
-        Monotonic time until which other endpoints go first.
+        Monotonic time until which other endpoints are preferred.
     first_answer_s : float
-        Moving time from sending to the first byte of an answer; 0 before any.
+        Moving average of the time from sending a request to the first byte of its
+        response; 0 before the first response.
     """
 
     failure_rate: float = 0.0
@@ -40,47 +41,49 @@
     Attributes
     ----------
     slots : int
-        Requests that it works on at once.
+        Number of requests that the endpoint processes at the same time.
     leaving : bool
-        Whether it wants no new work.
+        Whether the endpoint accepts no new requests.
     gone : bool
-        Whether its record is away; requests under way may still end.
+        Whether its record was removed; requests in progress can still finish.
     reclaimable : bool
-        Whether the platform may take it away on short notice.
+        Whether the platform can take the endpoint away on short notice.
     leaves_at : float or None
-        Monotonic time at which it will be gone, if it says so.
+        Monotonic time at which the endpoint will be gone, if its record states one.
     slot_share : int
-        Requests that this node keeps at it at most, by the number of nodes.
+        Most requests that this node runs at the endpoint at once. It depends on the
+        number of nodes.
     running : int
-        Requests of this node that are at it.
+        Requests of this node that are running at the endpoint.
     elsewhere : int
-        Requests of the other nodes at it, as last heard.
+        Requests of the other nodes at the endpoint, by their latest reports.
     prefill_tokens : int
-        Tokens that it has to read of this node's prompts that have had no event yet.
-    prefill_elsewhere : int
-        The same of other nodes' prompts, as last told by the node that keeps count.
+        Uncached tokens in this node's prompts that have had no first event yet.
+    other_nodes_prefill_tokens : int
+        The same for the prompts of other nodes, by the latest report of the endpoint's
+        coordinator.
     prefill_reported_at : float
-        Monotonic time at which that was told.
+        Monotonic time of that report.
     prefill_speed : float
-        Prompt tokens that it reads in a second, 0 if that is not known.
+        Prompt tokens that the endpoint prefills per second, 0 if unknown.
     suspended_until : float
-        Monotonic time until which a record that went missing while the store was
-        away is given the chance to come back.
+        Monotonic time until which a record that vanished during an outage of the store
+        can be restored.
     started_ms : StartTime or None
-        When this run of the endpoint started, by its own clock; None if not known.
+        Start of this run of the endpoint, by the endpoint's own clock; None if unknown.
     limit_per_s : float or None
-        Requests per second that it accepts from all nodes, None without a limit.
+        Requests per second that the endpoint accepts from all nodes, None if unlimited.
     limit_as_of : float
         Monotonic time at which the limit was last set, confirmed or cleared.
     permits : list of float
         Monotonic times at which the permits held by this node expire.
     next_permit_at : float
-        Monotonic time at which the next permit is due, by the last answer.
+        Monotonic time at which the next permit is due, by the latest reply.
     next_ask_at : float
-        Earliest monotonic time at which this node may ask for a permit.
+        Earliest monotonic time at which this node may request a permit.
     last_accepting_at : float
-        Monotonic time of the last request whose answer shows that the endpoint was
-        not leaving then.
+        Monotonic time of the last request whose response shows that the endpoint was
+        not leaving at that time.
     """
 
     endpoint: EndpointId
@@ -96,7 +99,7 @@
     running: int = 0
     elsewhere: int = 0
     prefill_tokens: int = 0
-    prefill_elsewhere: int = 0
+    other_nodes_prefill_tokens: int = 0
     prefill_reported_at: float = 0.0
     prefill_speed: float = 0.0
     suspended_until: float | None = None
@@ -111,55 +114,57 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Return whether it may get new requests."""
+        """Return whether new requests can be sent to the endpoint."""
         return not self.leaving and not self.gone
 
     @property
     def load(self) -> int:
-        """Return the requests at it, of all nodes."""
+        """Return the number of requests of all nodes at the endpoint."""
         return self.running + self.elsewhere
 
-    def update_backlog(self, elsewhere: int, speed: float, now: float) -> None:
-        """Take what the node that keeps count of its prompts tells."""
-        self.prefill_elsewhere = elsewhere
+    def update_backlog(self, other_nodes_tokens: int, speed: float, now: float) -> None:
+        """Store a report of the coordinator that counts the endpoint's prompts."""
+        self.other_nodes_prefill_tokens = other_nodes_tokens
         self.prefill_reported_at = now
         if speed > 0:
             self.prefill_speed = speed
 
     def backlog(self, now: float, speed: float) -> float:
-        """Return the prompt tokens in line at it, of all nodes.
+        """Return the uncached prompt tokens of all nodes queued at the endpoint.
 
         Parameters
         ----------
         now : float
             Monotonic time.
         speed : float
-            Tokens a second that it has read since it was last told of.
+            Assumed prefill rate since the latest report, in tokens per second.
         """
-        read = speed * (now - self.prefill_reported_at)
-        return self.prefill_tokens + max(0.0, self.prefill_elsewhere - read)
+        processed = speed * (now - self.prefill_reported_at)
+        return self.prefill_tokens + max(
+            0.0, self.other_nodes_prefill_tokens - processed
+        )
 
     @property
     def free(self) -> int:
-        """Return how many more requests it takes at once."""
-        own = min(self.slot_share, self.slots) - self.running
-        free = max(0, min(own, self.slots - self.load))
+        """Return how many more requests this node can send to the endpoint now."""
+        share_left = min(self.slot_share, self.slots) - self.running
+        free = max(0, min(share_left, self.slots - self.load))
         return free if self.limit_per_s is None else min(free, len(self.permits))
 
     def acquire_slot(self) -> None:
-        """Take a place for a request, and use up a permit if a limit applies."""
+        """Take a slot for a request, and use one permit if a limit applies."""
         self.running += 1
         if self.limit_per_s is not None and self.permits:
             del self.permits[0]
 
     def drop_expired_permits(self, now: float) -> None:
-        """Drop the permits that have expired."""
+        """Remove the permits that have expired."""
         self.permits = [until for until in self.permits if until > now]
 
 
 @dataclass(slots=True)
 class EndpointTable:
-    """All endpoints by id, and by service."""
+    """All endpoints, by id and by service."""
 
     rows: dict[EndpointId, Endpoint] = field(default_factory=dict)
     by_service: dict[ServiceName, dict[EndpointId, Endpoint]] = field(
@@ -167,12 +172,15 @@
     )
 
     def put(self, endpoint: Endpoint) -> None:
-        """Add a row."""
+        """Add or replace the row of an endpoint."""
         self.rows[endpoint.endpoint] = endpoint
         self.by_service.setdefault(endpoint.service, {})[endpoint.endpoint] = endpoint
 
     def drop(self, endpoint: EndpointId) -> None:
-        """Remove a row; requests at it keep their reference."""
+        """Remove a row and mark it as gone.
+
+        Requests in progress keep their reference to the row.
+        """
         row = self.rows.pop(endpoint, None)
         if row is not None:
             row.gone = True
@@ -183,5 +191,5 @@
         return list(self.by_service.get(service, {}).values())
 
     def accepting(self, service: ServiceName) -> list[Endpoint]:
-        """Return the endpoints of a service that take new requests."""
+        """Return the endpoints of a service that accept new requests."""
         return [row for row in self.of(service) if row.accepts_work]
--- a/poplarrelay/entry/host_directory.py
+++ b/poplarrelay/entry/host_directory.py
@@ -1,4 +1,4 @@
-"""Where nodes find each other when the seeds of their settings are of no use."""
+"""Directory of node hosts in the platform's store, used besides the seeds."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.directory")
 
-#: Topic with one record for each node: its host.
+#: Topic with one record for each node, which holds the node's host.
 TOPIC = keyed_topic("entry-hosts")
-#: Seconds between looks while this node hears few of the others, as when it has just
-#: started or is cut off.
-MISSING_S = 4.0
-#: Part of the listed nodes that counts as few. Some of them have been taken away for
-#: good: with every one of them missed, all nodes read the list every four seconds.
-FEW_SHARE = 0.5
-#: Seconds between looks otherwise, and for each node besides, so that all nodes
-#: together read at most four lists a second.
-COMPLETE_S = 60.0
-COMPLETE_EACH_S = 0.25
+#: Seconds between reads while few of the listed nodes are known to be alive, for
+#: example after a start or during a network partition.
+INCOMPLETE_INTERVAL_S = 4.0
+#: Share of the listed nodes below which few are alive. Some listed nodes no longer
+#: exist: if all had to be alive, all nodes would read the list every four seconds.
+MIN_ALIVE_SHARE = 0.5
+#: Seconds between reads otherwise: at least the first value, and at least the second
+#: value for each listed node. All nodes together then read at most four lists a second.
+COMPLETE_INTERVAL_S = 60.0
+INTERVAL_PER_NODE_S = 0.25
 
 
 class HostDirectory:
-    """The hosts that nodes have written to the platform's store.
+    """Hosts of all nodes, as recorded in the platform's store.
 
     Parameters
     ----------
@@ -43,20 +43,21 @@
 
     Notes
     -----
-    Seeds may be stale, down, or on the other side of a cut: nodes that know only
-    those could end in groups that never hear of each other. One record a start and
-    one read in `COMPLETE_S` prevent that.
+    Seeds can be stale, down, or on the other side of a network partition. Nodes that
+    know only seeds could form groups that never discover each other. To prevent this,
+    each node writes one record when it starts and reads all records about once in
+    `COMPLETE_INTERVAL_S`.
     """
 
     def __init__(self, state: EntryState, store: Store) -> None:
         self._state = state
         self._store = store
-        self._written = False
+        self._host_published = False
         self.hosts: dict[NodeId, str] = {}
 
     async def run(self) -> None:
-        """Write this node's host, and read the others' again and again."""
-        looks = 0
+        """Write this node's host, then read the hosts of other nodes periodically."""
+        reads = 0
         while True:
             try:
                 await self._refresh()
@@ -64,36 +65,36 @@
                 _LOG.debug("directory unreachable", extra={"why": str(error)})
                 await asyncio.sleep(1.0)
                 continue
-            await asyncio.sleep(self._wait_s(looks))
-            looks += 1
+            await asyncio.sleep(self._read_interval_s(reads))
+            reads += 1
 
-    def _wait_s(self, looks: int) -> float:
-        """Return the time until the next look.
+    def _read_interval_s(self, reads: int) -> float:
+        """Return the seconds until the next read.
 
         Notes
         -----
-        The second comes soon in any case: where all nodes start at once, the first
-        finds those that were faster.
+        The second read always follows soon. If all nodes start at the same time, the
+        first read finds only the nodes that have already written their record.
         """
-        heard = len(self._state.peers.alive(monotonic()))
-        if looks == 0 or heard < FEW_SHARE * len(self.hosts):
-            return MISSING_S
-        return max(COMPLETE_S, COMPLETE_EACH_S * len(self.hosts))
+        alive_count = len(self._state.peers.alive(monotonic()))
+        if reads == 0 or alive_count < MIN_ALIVE_SHARE * len(self.hosts):
+            return INCOMPLETE_INTERVAL_S
+        return max(COMPLETE_INTERVAL_S, INTERVAL_PER_NODE_S * len(self.hosts))
 
     async def _refresh(self) -> None:
         me = self._state.me
-        if not self._written:
+        if not self._host_published:
             value = orjson.dumps({"host": me.host})
             await self._store.put(TOPIC, me.node, value)
-            self._written = True
+            self._host_published = True
         records, _ = await self._store.newest(TOPIC)
-        hosts = {NodeId(r.key): _host(r) for r in records if r.key != me.node}
+        hosts = {NodeId(r.key): _decode_host(r) for r in records if r.key != me.node}
         self.hosts = {node: host for node, host in hosts.items() if host is not None}
         self._state.listed = self.hosts.keys()
 
 
-def _host(record: KeyedRecord) -> str | None:
-    """Return the host that a record names, None if it is none of a node's."""
+def _decode_host(record: KeyedRecord) -> str | None:
+    """Return the host in a record, None if the record is malformed."""
     try:
         host = orjson.loads(record.value or b"")["host"]
     except (ValueError, LookupError, TypeError) as error:
--- a/poplarrelay/entry/list_exchange.py
+++ b/poplarrelay/entry/list_exchange.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of their lists of endpoints."""
+"""Messages by which nodes keep each other's endpoint lists up to date."""
 
 from __future__ import annotations
 
@@ -22,49 +22,52 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.exchange")
 
-#: Peers told at once of a departure or a confirmed list. With three, news reaches 4,
-#: 16 and 64 nodes after one, two and three steps.
+#: Peers that get an announcement in one step. With three, a change is known to 4, 16
+#: and 64 nodes after one, two and three steps.
 FANOUT = 3
-#: Seconds for which news is collected before such a step: a wave of departures makes no
-#: more datagrams than one. Eight nodes read the store 1.9 times a second with 5 ms, 3.0
-#: times with 20 ms, since more of them came to their own reads first.
+#: Seconds for which changes are collected before such a step, so that a wave of
+#: departures sends no more datagrams than a single one. With 5 ms, eight nodes read the
+#: store 1.9 times a second; with 20 ms 3.0 times, as more nodes read it on their own
+#: before an announcement arrived.
 TELL_S = 0.005
-#: Seconds by which a list must be fresher than when it was last told for that to be
-#: told out of turn, and than this node's for a peer to be asked.
-FRESHER_S = 0.3
-#: Peers told that this node begins to read the store.
-READ_TOLD = 32
-#: Steps in which a departure is told at once, and datagrams in all; the others go with
-#: the regular rounds. One step each would not reach one in twenty nodes, two not one in
-#: four hundred.
-URGENT_STEPS = 2
-HOT_TIMES = 4
-#: Age of the list, as a part of the oldest at which the store is read, from which peers
-#: are asked without a hint: reads have had no answer then.
-ASK_AGE = 1.0
-#: Seconds between such questions, and peers asked in each. The chance that none of the
-#: peers asked within half a second knows more is small even where a third know nothing.
-ASK_S = 0.15
-ASKED = 2
-#: Seconds after which the answer to a question is not waited for any more. A later one
-#: would show a list older than the bounds on leaving endpoints.
-ANSWER_LIVES_S = 2.0
-#: Bytes of records in one datagram at most, before it is compressed.
-MOST_BYTES = 6_000
+#: Minimum gain in seconds of the time at which the list was confirmed. A node sends an
+#: extra announcement if its list gained this much since the last one. It sends a
+#: request if the list of a peer is this much ahead of its own.
+MIN_FRESHNESS_GAIN_S = 0.3
+#: Peers that get a notice when this node starts to read the store.
+READ_NOTICE_FANOUT = 32
+#: Steps in which a departure is announced immediately, and announcements of it in
+#: total; the regular rounds carry the rest. One immediate step at each node would miss
+#: one in twenty nodes, two steps miss one in four hundred.
+IMMEDIATE_STEPS = 2
+DEPARTURE_SENDS = 4
+#: Age of the list at which this node sends requests without a prior announcement, as a
+#: share of the latest age at which it reads the store. At that age, reads have failed.
+REQUEST_AGE_SHARE = 1.0
+#: Seconds between such requests, and peers that get each one. Even if a third of the
+#: peers know nothing new, the requests sent within half a second very probably reach a
+#: peer that does.
+REQUEST_INTERVAL_S = 0.15
+REQUEST_FANOUT = 2
+#: Seconds after which a request times out. A later reply would confirm a list that is
+#: older than the bounds on leaving endpoints allow.
+REPLY_TIMEOUT_S = 2.0
+#: Maximum bytes of records in one datagram, before compression.
+MAX_RECORD_BYTES = 6_000
 
 
 @dataclass(frozen=True, slots=True)
 class ListAnnouncement:
-    """What a node says of its list unasked; nobody can tell how long it was on its way.
+    """Unrequested message about the sender's list, with an unknown time in flight.
 
     Attributes
     ----------
     as_of : Offset
         The sender knows every record before this offset.
     age_s : float
-        Age of the sender's list as it was sent.
+        Age in seconds of the sender's list when the message was sent.
     changes : tuple of EndpointChange
-        Departures that it has lately learned.
+        Recent departures.
     """
 
     as_of: Offset
@@ -77,19 +80,19 @@
 
     @classmethod
     def decode(cls, raw: list[Any]) -> ListAnnouncement:
-        """Return the hint that a form for JSON holds; raises `ValueError`."""
+        """Return the announcement from its JSON list; raise `ValueError` if invalid."""
         as_of, age_s, changes = raw
         return cls(Offset(int(as_of)), float(age_s), _decode_changes(changes))
 
 
 @dataclass(frozen=True, slots=True)
 class ChangesRequest:
-    """Asks a peer for all changes from an offset on.
+    """Request to a peer for all changes from an offset on.
 
     Attributes
     ----------
     number : int
-        Names the question among those of its sender.
+        Number of the request, unique at its sender.
     since : Offset
         The sender knows every record before this offset.
     """
@@ -103,26 +106,26 @@
 
     @classmethod
     def decode(cls, raw: list[Any]) -> ChangesRequest:
-        """Return the question that a form for JSON holds; raises `ValueError`."""
+        """Return the request from its JSON list; raise `ValueError` if invalid."""
         number, since = raw
         return cls(int(number), Offset(int(since)))
 
 
 @dataclass(frozen=True, slots=True)
 class ChangesReply:
-    """All changes between the offset that was asked for and another one.
+    """Reply with all changes between the requested offset and `as_of`.
 
     Attributes
     ----------
     number : int
-        The question that it answers.
+        Number of the request.
     as_of : Offset
-        The changes are all that there were before this offset.
+        The reply contains every change before this offset.
     age_s : float or None
-        Time since there was nothing more in the store, as the answer was sent; None
-        if not all changes that the sender knows are in it.
+        Age in seconds of the sender's list when the reply was sent; None if the reply
+        does not contain all changes that the sender knows.
     digest : str
-        What the sender's list comes to, if it is exactly that of `as_of`, or empty.
+        Digest of the sender's list if the list ends exactly at `as_of`, else empty.
     """
 
     number: int
@@ -138,7 +141,7 @@
 
     @classmethod
     def decode(cls, raw: list[Any]) -> ChangesReply:
-        """Return the answer that a form for JSON holds; raises `ValueError`."""
+        """Return the reply from its JSON list; raise `ValueError` if invalid."""
         number, as_of, age_s, digest, changes = raw
         return cls(
             int(number),
@@ -154,7 +157,7 @@
         [
             change.endpoint,
             change.offset,
-            # Only records that could be read are passed on, and those are UTF-8.
+            # Only records that could be parsed are passed on, and those are UTF-8.
             None if change.content is None else change.content.decode(),
             change.lapsed,
         ]
@@ -175,53 +178,55 @@
 
 
 class Sender(Protocol):
-    """Carries messages to peers, which may lose, delay and reorder them."""
+    """Transport to peers, which can lose, delay and reorder messages."""
 
     def send_announcement(
         self, hosts: Sequence[str], announcement: ListAnnouncement
     ) -> None:
-        """Tell some peers."""
+        """Send an announcement to some peers."""
 
     def send_read_notice(
         self, hosts: Sequence[str], announcement: ListAnnouncement
     ) -> None:
-        """Tell some peers that this node begins to read the store."""
+        """Notify some peers that this node starts to read the store."""
 
     def send_changes_request(
         self, hosts: Sequence[str], request: ChangesRequest
     ) -> None:
-        """Ask some peers."""
+        """Send a request to some peers."""
 
     def send_changes_reply(self, host: str, reply: ChangesReply) -> None:
-        """Answer a peer."""
+        """Send a reply to a peer."""
 
 
 @dataclass(slots=True)
 class ListExchange:
-    """Keeps this node's list as fresh as its peers'.
+    """Exchange of endpoint list updates between this node and its peers.
 
     Attributes
     ----------
     endpoints : EndpointList
         This node's list.
     alive : callable
-        Returns the hosts of the peers that are alive.
+        Returns the hosts of the live peers.
     resync : callable
-        Has this node read the whole list from the store.
-    wake : callable
-        Has `tick` called within `TELL_S`.
+        Makes this node read the complete list from the store.
+    schedule_tick : callable
+        Schedules a call of `tick` within `TELL_S`.
 
     Notes
     -----
-    A hint brings departures, which hold by their offsets however late they are, and
-    shows who may be asked. Only the answer to a question confirms this node's list,
-    as of the time of the question: how long either was on its way can make the list
-    seem older than it is, never younger. So claims may go round in circles and over
-    any number of nodes, and one read of the store keeps all of them fresh.
-
-    A peer is asked only by those that it has told itself, three at a time, and answers
-    with what they lack: when all asked the one that had read last for its whole list,
-    sixty answers of 45 KB kept its link busy for seconds.
+    An announcement carries departures. Their offsets order them, so they stay valid
+    even if they arrive late. An announcement also shows whether the sender has a
+    fresher list. Only the reply to a request confirms this node's list, for the time at
+    which the request was sent. The time in flight can make the list look older than it
+    is, but never younger. So a list that nodes confirm to each other in a circle never
+    looks too fresh, and one read of the store keeps the lists of all nodes fresh.
+
+    A peer gets requests mainly from the nodes to which it sent an announcement, three
+    at a time, and replies with the changes that they lack. When all nodes requested the
+    complete list of the last reader, sixty replies of 45 KB kept its link busy for
+    seconds.
     """
 
     endpoints: EndpointList
@@ -229,83 +234,88 @@
     sender: Sender
     alive: Callable[[float], list[str]]
     resync: Callable[[], None]
-    wake: Callable[[], None]
+    schedule_tick: Callable[[], None]
     rng: Random
-    _asked: dict[int, float] = field(default_factory=dict)
-    _number: int = 0
-    _asked_at: float = float("-inf")
-    _hot: dict[EndpointId, int] = field(default_factory=dict)
+    _request_times: dict[int, float] = field(default_factory=dict)
+    _last_number: int = 0
+    _last_request_at: float = float("-inf")
+    _departure_sends_left: dict[EndpointId, int] = field(default_factory=dict)
     _announced_at: float = float("-inf")
     _announced_confirmed_at: float = float("-inf")
-    _urgent: int = 0
+    _immediate_steps_left: int = 0
 
-    # telling
+    # announcements
 
     def note_departure(self, endpoint: EndpointId) -> None:
-        """Note that peers must hear of an endpoint's departure."""
-        self._hot[endpoint] = HOT_TIMES
-        self._urgent = URGENT_STEPS
-        self.wake()
+        """Schedule announcements of an endpoint's departure."""
+        self._departure_sends_left[endpoint] = DEPARTURE_SENDS
+        self._immediate_steps_left = IMMEDIATE_STEPS
+        self.schedule_tick()
 
     def note_confirmed(self) -> None:
-        """Note that this node's list has become fresher."""
-        if self.freshness.confirmed_at - self._announced_confirmed_at >= FRESHER_S:
-            self.wake()
+        """Schedule an announcement if the list is fresher than last announced."""
+        if (
+            self.freshness.confirmed_at - self._announced_confirmed_at
+            >= MIN_FRESHNESS_GAIN_S
+        ):
+            self.schedule_tick()
 
     def announcement(self, now: float) -> ListAnnouncement:
-        """Return what to tell peers with the next datagram to several of them."""
-        return replace(self.plain_announcement(now), changes=self._hot_changes())
+        """Return an announcement with departures, for a datagram to several peers."""
+        return replace(self.plain_announcement(now), changes=self._departures_to_send())
 
     def plain_announcement(self, now: float) -> ListAnnouncement:
-        """Return how far the list goes, without the departures that are still told."""
+        """Return an announcement of offset and age, without departures."""
         return ListAnnouncement(
             self.freshness.as_of, self.freshness.reported_age_s(now)
         )
 
-    def _hot_changes(self) -> tuple[EndpointChange, ...]:
+    def _departures_to_send(self) -> tuple[EndpointChange, ...]:
         changes = []
-        room = MOST_BYTES
-        for endpoint in list(self._hot):
+        bytes_left = MAX_RECORD_BYTES
+        for endpoint in list(self._departure_sends_left):
             change = self.endpoints.change(endpoint)
             if change is not None:
-                room -= len(change.content or b"") + 40
-                if room < 0:
+                bytes_left -= len(change.content or b"") + 40
+                if bytes_left < 0:
                     break
                 changes.append(change)
-            self._hot[endpoint] -= 1
-            if self._hot[endpoint] <= 0:
-                del self._hot[endpoint]
+            self._departure_sends_left[endpoint] -= 1
+            if self._departure_sends_left[endpoint] <= 0:
+                del self._departure_sends_left[endpoint]
         return tuple(changes)
 
     def announce_read(self, now: float) -> None:
-        """Tell peers that this node begins to read the store."""
+        """Notify peers that this node starts to read the store."""
         peers = self.alive(now)
-        hosts = self.rng.sample(peers, min(READ_TOLD, len(peers)))
+        hosts = self.rng.sample(peers, min(READ_NOTICE_FANOUT, len(peers)))
         self.sender.send_read_notice(hosts, self.plain_announcement(now))
 
     def receive_read_notice(self, now: float) -> None:
-        """Take it that a peer has begun to read the store."""
-        self.freshness.await_peer(now)
+        """Handle the notice that a peer starts to read the store."""
+        self.freshness.wait_for_peer_read(now)
 
     def tick(self, now: float) -> None:
-        """Tell and ask what is due.
+        """Send the announcements and requests that are due.
 
         Parameters
         ----------
         now : float
             Monotonic time.
         """
-        fresher_s = self.freshness.confirmed_at - self._announced_confirmed_at
+        gain_s = self.freshness.confirmed_at - self._announced_confirmed_at
         if (
-            self._urgent or fresher_s >= FRESHER_S
+            self._immediate_steps_left or gain_s >= MIN_FRESHNESS_GAIN_S
         ) and now - self._announced_at >= TELL_S:
             self._announce(now)
         age_s = self.freshness.age_s(now)
-        late = age_s > ASK_AGE * self.freshness.times.latest_read_s
-        lapsed = self.endpoints.earliest_lapse is not None
-        if (late or lapsed) and now - self._asked_at >= ASK_S:
+        stale = age_s > REQUEST_AGE_SHARE * self.freshness.times.latest_read_s
+        has_lapsed = self.endpoints.earliest_lapse is not None
+        if (stale or has_lapsed) and now - self._last_request_at >= REQUEST_INTERVAL_S:
             peers = self.alive(now)
-            self._ask(self.rng.sample(peers, min(ASKED, len(peers))), now)
+            self._send_request(
+                self.rng.sample(peers, min(REQUEST_FANOUT, len(peers))), now
+            )
 
     def _announce(self, now: float) -> None:
         self._announced_at = now
@@ -313,88 +323,92 @@
         peers = self.alive(now)
         hosts = self.rng.sample(peers, min(FANOUT, len(peers)))
         self.sender.send_announcement(hosts, self.announcement(now))
-        if self._urgent > 0:
-            self._urgent -= 1
-        if self._urgent > 0:
-            self.wake()
+        if self._immediate_steps_left > 0:
+            self._immediate_steps_left -= 1
+        if self._immediate_steps_left > 0:
+            self.schedule_tick()
 
-    # asking
+    # requests and replies
 
-    def _ask(self, hosts: Sequence[str], now: float) -> None:
+    def _send_request(self, hosts: Sequence[str], now: float) -> None:
         if not hosts:
             return
-        self._asked_at = now
-        for number in [n for n, at in self._asked.items() if now - at > ANSWER_LIVES_S]:
-            del self._asked[number]
-        self._number += 1
-        self._asked[self._number] = now
+        self._last_request_at = now
+        for number in [
+            n for n, at in self._request_times.items() if now - at > REPLY_TIMEOUT_S
+        ]:
+            del self._request_times[number]
+        self._last_number += 1
+        self._request_times[self._last_number] = now
         since = self.freshness.as_of
-        lapse = self.endpoints.earliest_lapse
-        if lapse is not None:
-            since = min(since, lapse)
-        self.sender.send_changes_request(hosts, ChangesRequest(self._number, since))
+        earliest_lapse_offset = self.endpoints.earliest_lapse
+        if earliest_lapse_offset is not None:
+            since = min(since, earliest_lapse_offset)
+        self.sender.send_changes_request(
+            hosts, ChangesRequest(self._last_number, since)
+        )
 
     def receive_announcement(
         self, host: str, announcement: ListAnnouncement, now: float
     ) -> None:
-        """Take what a peer says unasked, and ask it if it knows more."""
+        """Apply the departures in an announcement; send a request if it is fresher."""
         if announcement.changes:
             self.endpoints.apply_changes(announcement.changes, host)
-        fresher_s = (now - announcement.age_s) - self.freshness.confirmed_at
-        if fresher_s >= FRESHER_S and now - self._asked_at >= TELL_S:
-            self._ask([host], now)
+        gain_s = (now - announcement.age_s) - self.freshness.confirmed_at
+        if gain_s >= MIN_FRESHNESS_GAIN_S and now - self._last_request_at >= TELL_S:
+            self._send_request([host], now)
 
     def receive_changes_request(
         self, host: str, request: ChangesRequest, now: float
     ) -> None:
-        """Answer a peer with what it lacks."""
-        self.sender.send_changes_reply(host, self._reply(request, now))
+        """Reply to a peer with the changes that it lacks."""
+        self.sender.send_changes_reply(host, self._build_reply(request, now))
 
-    def _reply(self, request: ChangesRequest, now: float) -> ChangesReply:
+    def _build_reply(self, request: ChangesRequest, now: float) -> ChangesReply:
         as_of = self.freshness.as_of
         changes = self.endpoints.since(request.since)
         if changes is None:
             return ChangesReply(request.number, Offset(0), None, "", ())
         age_s: float | None = self.freshness.reported_age_s(now)
         digest = self._exact_digest()
-        room = MOST_BYTES
-        fitting = []
+        bytes_left = MAX_RECORD_BYTES
+        included = []
         for change in changes:
-            room -= len(change.content or b"") + 40
-            if room < 0:
+            bytes_left -= len(change.content or b"") + 40
+            if bytes_left < 0:
                 as_of, age_s, digest = min(as_of, change.offset), None, ""
                 break
-            fitting.append(change)
-        return ChangesReply(request.number, as_of, age_s, digest, tuple(fitting))
+            included.append(change)
+        return ChangesReply(request.number, as_of, age_s, digest, tuple(included))
 
     def _exact_digest(self) -> str:
-        """Return what the list comes to, empty if it holds later records as well."""
-        later = self.endpoints.since(self.freshness.as_of)
-        return self.endpoints.digest if later == [] else ""
+        """Return the digest of the list, empty if it also contains later records."""
+        later_changes = self.endpoints.since(self.freshness.as_of)
+        return self.endpoints.digest if later_changes == [] else ""
 
     def receive_changes_reply(self, host: str, reply: ChangesReply, now: float) -> None:
-        """Take a peer's answer to a question of this node."""
-        asked_at = self._asked.get(reply.number)
-        if asked_at is None:
+        """Apply a peer's reply to a request of this node."""
+        requested_at = self._request_times.get(reply.number)
+        if requested_at is None:
             return
         if reply.changes:
             self.endpoints.apply_changes(reply.changes, host)
         if reply.age_s is None:
-            # More changes than a datagram holds, or older ones than the peer remembers.
+            # The changes exceed a datagram, or the peer no longer has the oldest ones.
             self.freshness.as_of = max(self.freshness.as_of, reply.as_of)
             self.freshness.behind = True
             return
-        self.freshness.confirm(asked_at - reply.age_s, reply.as_of, f"peer {host}")
-        self._compare(host, reply)
+        self.freshness.confirm(requested_at - reply.age_s, reply.as_of, f"peer {host}")
+        self._compare_digests(host, reply)
 
-    def _compare(self, host: str, reply: ChangesReply) -> None:
-        """Read everything again if a peer with the same records has another list."""
+    def _compare_digests(self, host: str, reply: ChangesReply) -> None:
+        """Resync if a peer that knows the same records has a different list."""
         if not reply.digest or reply.as_of != self.freshness.as_of:
             return
-        own = self._exact_digest()
-        if own and own != reply.digest:
+        own_digest = self._exact_digest()
+        if own_digest and own_digest != reply.digest:
             _LOG.error(
                 "lists differ",
-                extra={"peer": host, "as_of": reply.as_of, "digest": own},
+                extra={"peer": host, "as_of": reply.as_of, "digest": own_digest},
             )
             self.resync()
--- a/poplarrelay/entry/list_freshness.py
+++ b/poplarrelay/entry/list_freshness.py
@@ -1,4 +1,4 @@
-"""How old a node's list of endpoints is, and when it must be renewed."""
+"""Age of a node's endpoint list, and the times at which the node reads it again."""
 
 from __future__ import annotations
 
@@ -11,65 +11,68 @@
 
 __all__ = ["NEVER_S", "ListFreshness", "ListTimes", "draw_read_age"]
 
-#: Parts of the time after which a leaving endpoint may get no new work. Their sum on
-#: the longest way is less than one: a list that nobody has renewed is read at half of
-#: that time at the latest, one answer may be missing, and the repeated read is answered
-#: just in time. What is left is for the request's own way to the endpoint.
-#: The age at which a node reads the store is drawn anew each time, so that one node
-#: reads and its news reaches the others before their turn comes, also from a store
-#: that takes as long to answer as a read is given.
-EARLIEST_READ = 0.25
-LATEST_READ = 0.5
-#: Time that a read is given. A store's slow spell answers in about 0.25 s; the smallest
-#: bound in use, 2 s, gives 0.4 s.
-ANSWER = 0.2
-#: Pause between a read without an answer and the next.
-PAUSE = 0.02
-#: Times that this is waited for a peer's read and its news, at least and at most. Nodes
-#: that wait for the same one must not read together when it has no answer.
-PEER_WAIT = (1.0, 1.25)
-#: Nodes that may read before the others, and the part of that time that the others draw
-#: from.
-CANDIDATES = 12
-LAST_PART = 0.2
-#: What is left for a request on its way: a connection within one zone takes some
-#: milliseconds, one whose first packet is lost is given up for another endpoint.
-SENDING = 0.07
-#: Heartbeats of endpoints for which nobody may have confirmed a list for the store to
-#: count as having been away. A record lapses after three heartbeats of silence, so two
-#: into an outage at the earliest; half of one is for a heartbeat that came late.
+#: The shares below divide the bound, the time after which a leaving endpoint gets no
+#: new requests. In the longest case they add up to less than one: a list that no peer
+#: confirms is read at half of the bound at the latest, the first read times out, and
+#: the second read is answered just in time. The rest is for sending a request.
+#:
+#: Each node draws a new age at random for each read of the store. So one node reads
+#: first, and its announcement reaches the others before they read as well. This also
+#: holds if the store takes the full timeout of a read to answer.
+EARLIEST_READ_SHARE = 0.25
+LATEST_READ_SHARE = 0.5
+#: Timeout of a read. A slow store answers in about 0.25 s; the smallest bound in use,
+#: 2 s, gives a timeout of 0.4 s.
+ANSWER_SHARE = 0.2
+#: Pause between a read that timed out and the next one.
+PAUSE_SHARE = 0.02
+#: Shortest and longest wait for a peer's read and its announcement, as multiples of the
+#: read timeout. The wait is random: if the peer's read times out, the nodes that wait
+#: for it must not all read at the same time.
+PEER_WAIT_FACTORS = (1.0, 1.25)
+#: Average number of nodes that draw from the complete range of read ages, and the share
+#: of the range, at its end, that the other nodes draw from.
+EARLY_READERS = 12
+LATE_READERS_SHARE = 0.2
+#: Share for sending a request. Connecting within one zone takes some milliseconds; if
+#: the first packet is lost, the request goes to another endpoint.
+SENDING_SHARE = 0.07
+#: Age of the list, in heartbeat intervals of endpoints, that indicates an outage of the
+#: store. A record expires after three intervals without a heartbeat, so at the earliest
+#: two intervals into an outage; half an interval allows for a late heartbeat.
 OUTAGE_HEARTBEATS = 1.5
-#: Seconds after such a gap for which news of lapsed records is believed: all nodes read
-#: the store within two seconds of its return, and tell it in tenths.
+#: Seconds after an outage during which reports of expired records are accepted. All
+#: nodes read the store within two seconds of its return and announce changes within
+#: tenths of a second.
 STEADY_S = 4.0
-#: Shortest time in seconds between two reads of a node that peers have told of newer
-#: records than they can pass on: while endpoints come and go all the time, each node
-#: would otherwise read with every change.
-SHORTEST_READ_S = 0.3
-_START = Offset(0)
-#: Age told of a list that was never the store's; JSON has no infinity.
+#: Minimum seconds between two reads of a node whose peers have more changes than they
+#: can send. Without it, each node would read the store for every change while endpoints
+#: start and stop continuously.
+MIN_READ_INTERVAL_S = 0.3
+_FIRST_OFFSET = Offset(0)
+#: Age in seconds reported for a list that was never confirmed; JSON has no infinity.
 NEVER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class ListTimes:
-    """Times by which a departure is known before the bound on it has passed.
+    """Times in seconds that keep the bound on requests to leaving endpoints.
 
     Attributes
     ----------
     bound_s : float
-        Time from the store's acknowledgement that an endpoint leaves, after which
-        it may get nothing more.
+        Time after which a leaving endpoint gets no more requests, counted from the
+        store's acknowledgement of its departure.
     earliest_read_s, latest_read_s : float
-        Age of the list at which this node reads the store.
+        Range of the list age at which this node reads the store.
     answer_s : float
-        Time that the first read, and its first repetition, wait for an answer.
+        Timeout of the first read and of its first repetition.
     pause_s : float
-        Pause after a read without an answer.
+        Pause after a read that timed out.
     max_list_age_s : float
-        Age up to which a list, with a request's way added, keeps the bound.
+        Age up to which a request sent by the list still keeps the bound.
     outage_s : float
-        Age from which the store may have been away long enough for records to lapse.
+        Age from which an outage of the store can have let records expire.
     """
 
     bound_s: float
@@ -82,106 +85,106 @@
 
     @classmethod
     def from_config(cls, bounds: BoundSettings) -> ListTimes:
-        """Return the times that a bound on leaving endpoints leaves."""
+        """Return the times for the bounds in the settings."""
         bound_s = bounds.leaving_endpoint_ms / 1000
         return cls(
             bound_s=bound_s,
-            earliest_read_s=EARLIEST_READ * bound_s,
-            latest_read_s=LATEST_READ * bound_s,
-            answer_s=ANSWER * bound_s,
-            pause_s=PAUSE * bound_s,
-            max_list_age_s=(1 - SENDING) * bound_s,
+            earliest_read_s=EARLIEST_READ_SHARE * bound_s,
+            latest_read_s=LATEST_READ_SHARE * bound_s,
+            answer_s=ANSWER_SHARE * bound_s,
+            pause_s=PAUSE_SHARE * bound_s,
+            max_list_age_s=(1 - SENDING_SHARE) * bound_s,
             outage_s=OUTAGE_HEARTBEATS * bounds.endpoint_heartbeat_ms / 1000,
         )
 
 
 def draw_read_age(times: ListTimes, nodes: int, rng: Random) -> float:
-    """Return the age of the list at which a node reads the store itself.
+    """Return a random age of the list at which a node reads the store itself.
 
     Parameters
     ----------
     times : ListTimes
-        Bounds of that age, in seconds.
+        Range of the age, in seconds.
     nodes : int
-        Nodes that confirm each other's lists, this one included.
+        Number of nodes that confirm each other's lists, including this one.
     rng : random.Random
-        Draws.
+        Random number generator.
 
     Notes
     -----
-    About `CANDIDATES` nodes draw from the whole range. The others wait for nearly the
-    longest time, or the number of nodes that read before the news of the first one has
-    reached them would grow with the number of all.
+    About `EARLY_READERS` nodes draw from the complete range; the others draw from its
+    end. If all nodes drew from the complete range, the number of nodes that read before
+    the first reader's announcement arrives would grow with the size of the site.
     """
     range_s = times.latest_read_s - times.earliest_read_s
-    if nodes > 1 and rng.random() * nodes < CANDIDATES:
+    if nodes > 1 and rng.random() * nodes < EARLY_READERS:
         return times.earliest_read_s + rng.random() * range_s
-    return times.latest_read_s - rng.random() * LAST_PART * range_s
+    return times.latest_read_s - rng.random() * LATE_READERS_SHARE * range_s
 
 
 @dataclass(slots=True)
 class ListFreshness:
-    """Up to where, and since when, this node's list of endpoints is the store's.
+    """Known offset of this node's endpoint list, and the time of its confirmation.
 
     Attributes
     ----------
     as_of : Offset
-        This node knows every record of the endpoints' topic before this offset.
+        This node knows every record of the endpoint topic before this offset.
     confirmed_at : float
-        Monotonic time of this node at which that was all that the topic held.
+        Monotonic time of this node at which the topic had no further records.
     source : str
-        Who showed that: the store, or a peer.
+        Origin of the confirmation: the store or a peer.
     read_at : float
-        Monotonic time of this node's last own read.
+        Monotonic time at which this node sent its last successful read of the store.
     behind : bool
-        Whether a peer knows more than it can pass on in a datagram.
+        Whether a peer has more changes than it can send in a datagram.
     read_after_s : float
-        Age at which this node reads the store itself.
+        Age of the list at which this node reads the store itself.
     nodes : int
-        Nodes that confirm each other's lists, this one included.
-    peer_reads_until : float
-        Monotonic time until which a peer's read that is under way is waited for.
+        Number of nodes that confirm each other's lists, including this one.
+    peer_read_expected_until : float
+        Monotonic time until which this node waits for a peer's read in progress.
     steady_since : float
-        Monotonic time since which the list has never been old enough for an outage.
+        Monotonic time since which the age of the list has never indicated an outage.
     trusted_from : float
-        What was asked before this time confirms nothing.
+        Monotonic time; confirmations for an earlier time are ignored.
     on_confirm : callable or None
-        Called when the list has been confirmed anew, so that others hear of it.
+        Called when the list is confirmed for a later time than before.
 
     Notes
     -----
-    `confirmed_at` is always the time at which this node *asked*, less the age that the
-    answer states: whatever the question or the answer waited for on its way, the
-    store or the peer answered later than that. An age counted back from the arrival of
-    news left out the time that it lay in a busy link or process; nodes took lists for
-    fresh that were seconds old, and sent to endpoints that had left. Since no step
-    makes a list younger than it is, none does however many nodes pass it on.
+    `confirmed_at` is the time at which this node *sent* the request, less the age that
+    the reply states. The store or peer always replied later than that, so a delay in
+    flight cannot make the list look younger than it is. When the age was counted back
+    from the arrival of a message, it left out the wait in a busy link or process: nodes
+    then used lists that were seconds old, and sent requests to endpoints that had left.
+    No step makes a list look younger, so any number of nodes can pass it on.
     """
 
     rng: Random
     times: ListTimes
-    as_of: Offset = _START
+    as_of: Offset = _FIRST_OFFSET
     confirmed_at: float = float("-inf")
     source: str = ""
     read_at: float = float("-inf")
     behind: bool = False
     read_after_s: float = 0.0
     nodes: int = 1
-    peer_reads_until: float = float("-inf")
+    peer_read_expected_until: float = float("-inf")
     steady_since: float = float("inf")
     trusted_from: float = float("-inf")
     on_confirm: Callable[[], None] | None = None
 
     def age_s(self, now: float) -> float:
-        """Return the time since the list was known to be the store's."""
+        """Return the seconds since the list was confirmed to equal the store's."""
         return now - self.confirmed_at
 
     def reported_age_s(self, now: float) -> float:
-        """Return the age as it is told to logs and peers: finite, `NEVER_S` at most."""
+        """Return the finite age for logs and peers, at most `NEVER_S`."""
         return min(self.age_s(now), NEVER_S)
 
     def steady(self, now: float) -> bool:
-        """Return whether the store has certainly not been away lately."""
+        """Return whether a recent outage of the store is ruled out."""
         confirmed = self.age_s(now) <= self.times.outage_s
         return confirmed and now - self.steady_since > STEADY_S
 
@@ -190,22 +193,22 @@
         return self.age_s(now) <= self.times.max_list_age_s
 
     def note_read(self, sent_at: float, as_of: Offset) -> None:
-        """Note that this node's own read was answered with all that there was."""
+        """Record a read of the store by this node that returned all records."""
         self.read_at = sent_at
         self.behind = False
         self.confirm(sent_at, as_of, "store")
 
     def confirm(self, at: float, as_of: Offset, source: str) -> None:
-        """Note up to where the list is known, and the time as of which.
+        """Record that the list contained all records at a time.
 
         Parameters
         ----------
         at : float
-            Monotonic time of this node at which there was nothing more.
+            Monotonic time of this node at which the store had no further records.
         as_of : Offset
-            End of the records that are known.
+            Offset before which all records are known.
         source : str
-            Who showed it.
+            Origin of the confirmation: the store or a peer.
         """
         self.as_of = max(self.as_of, as_of)
         if at <= self.confirmed_at or at < self.trusted_from:
@@ -219,36 +222,36 @@
             self.on_confirm()
 
     def due_in_s(self, now: float) -> float:
-        """Return the time until this node reads the store itself."""
+        """Return the seconds until this node reads the store, negative if overdue."""
         due_at = self.confirmed_at + self.read_after_s
-        if self.peer_reads_until > due_at:
+        if self.peer_read_expected_until > due_at:
             latest_at = self.confirmed_at + self.times.latest_read_s
-            due_at = max(due_at, min(self.peer_reads_until, latest_at))
+            due_at = max(due_at, min(self.peer_read_expected_until, latest_at))
         if self.behind:
-            due_at = min(due_at, self.read_at + SHORTEST_READ_S)
+            due_at = min(due_at, self.read_at + MIN_READ_INTERVAL_S)
         return due_at - now
 
-    def await_peer(self, now: float) -> None:
-        """Wait for a peer's read that has just begun, as long as there is time.
+    def wait_for_peer_read(self, now: float) -> None:
+        """Delay this node's read for a peer's read that has just started.
 
         Notes
         -----
-        While a slow store answers one node, the turn of the others comes as well: each
-        read would make it slower for all. The last time at which this node must read
-        for its own repetition to end within the bound stays as it is.
+        While a slow store answers one node, reads become due at other nodes, and each
+        further read would slow the store down for all. The delay never exceeds the
+        latest read age, so that a repeated read still ends within the bound.
         """
-        wait_s = self.times.answer_s * self.rng.uniform(*PEER_WAIT)
-        self.peer_reads_until = now + wait_s
+        wait_s = self.times.answer_s * self.rng.uniform(*PEER_WAIT_FACTORS)
+        self.peer_read_expected_until = now + wait_s
 
     def invalidate(self, since: float = float("-inf")) -> None:
-        """Take the list for old, as after a freeze.
+        """Mark the list as stale, for example after a freeze of the process.
 
         Parameters
         ----------
         since : float
-            Monotonic time before which nothing may have been asked that confirms it.
-            That clock may have stood still in a freeze, and an answer that lay here
-            meanwhile would seem as young as when it came.
+            Monotonic time; replies to requests sent before it no longer confirm the
+            list. The monotonic clock can stop during a freeze, so a reply that waited
+            in the socket during the freeze would look as young as on arrival.
         """
         self.confirmed_at = float("-inf")
         self.trusted_from = since
--- a/poplarrelay/entry/tests/test_duties.py
+++ b/poplarrelay/entry/tests/test_duties.py
@@ -87,8 +87,8 @@
 
 def test_first_record_of_a_window_counts():
     ledger = UsageLedger()
-    ledger.take(UsageLedger.encode(7, {TeamId("alpha"): 3}))
-    ledger.take(UsageLedger.encode(7, {TeamId("alpha"): 9}))
+    ledger.add_record(UsageLedger.encode(7, {TeamId("alpha"): 3}))
+    ledger.add_record(UsageLedger.encode(7, {TeamId("alpha"): 9}))
     assert ledger.decided == {7: {"alpha": 3}}
 
 
--- a/poplarrelay/entry/tests/test_freshness.py
+++ b/poplarrelay/entry/tests/test_freshness.py
@@ -11,7 +11,7 @@
 
 from poplarrelay.entry.list_exchange import (
     FANOUT,
-    MOST_BYTES,
+    MAX_RECORD_BYTES,
     TELL_S,
     ChangesReply,
     ChangesRequest,
@@ -153,7 +153,7 @@
     mine = ListFreshness(Random(1), TIMES, nodes=8)
     mine.note_read(5.0, Offset(3))
     latest_at = 5.0 + TIMES.latest_read_s
-    mine.await_peer(latest_at - 0.01)
+    mine.wait_for_peer_read(latest_at - 0.01)
     assert mine.due_in_s(latest_at) <= 0
 
 
@@ -221,7 +221,7 @@
         for envelope in lists.in_transit:
             if isinstance(envelope.message, ChangesReply):
                 records = [change.content or b"" for change in envelope.message.changes]
-                assert sum(map(len, records)) <= MOST_BYTES
+                assert sum(map(len, records)) <= MAX_RECORD_BYTES
     asked = [envelope for envelope in lists.in_transit if envelope.receiver == "n0"]
     assert len(asked) <= FANOUT
 
