--- a/poplarrelay/entry/tests/test_beliefs_machine.py
+++ b/poplarrelay/entry/tests/test_beliefs_machine.py
@@ -1,4 +1,4 @@
-"""State machines over the shared retry budget and over beliefs about endpoints."""
+"""State machine tests of the shared retry budget and of endpoint health."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -15,11 +15,12 @@
 
 
 class BudgetMachine(RuleBasedStateMachine):
-    """Four nodes send and repeat requests, and cannot always hear each other.
+    """State machine of four nodes that send and retry requests.
 
-    Each divides the slack by the nodes that it counts, which is the largest number
-    lately seen. What must hold in every window: all nodes together repeat no more
-    than the ratio of what callers sent in it, and the slack.
+    The nodes do not always receive each other's messages. Each node divides the slack
+    by the largest number of nodes that it has counted recently. Invariant for each
+    window: all nodes together retry at most the slack plus the ratio of the requests
+    that callers sent in the window.
     """
 
     def __init__(self):
@@ -57,13 +58,13 @@
         assert repeated <= RATIO * sent + SLACK
 
 
-class BeliefMachine(RuleBasedStateMachine):
-    """Endpoints answer well, badly, late or not at all, in any order.
+class HealthMachine(RuleBasedStateMachine):
+    """State machine of endpoints that answer, fail, are slow or do not answer.
 
-    What must hold: an endpoint is never avoided for longer than the longest time, so
-    one that has recovered is found again; something is always sent to an engine,
-    since only that shows that it has recovered; and the first success of one that
-    fails seldom ends its avoidance.
+    Invariants: an endpoint is never avoided for longer than the longest time, so that
+    a recovered endpoint gets requests again. An endpoint always has a free slot, since
+    only requests show that it has recovered. The first success of an endpoint with a
+    low failure rate ends its avoidance.
     """
 
     def __init__(self):
@@ -96,7 +97,7 @@
             assert row.health.avoided_until == 0.0
 
     @invariant()
-    def no_endpoint_is_given_up_for_good(self):
+    def no_endpoint_is_avoided_forever(self):
         for row in self.rows:
             assert row.health.avoided_until <= self.now + LONGEST_AVOIDANCE_S
             row.running = 0
@@ -106,5 +107,5 @@
 _SETTINGS = settings(derandomize=True, max_examples=60, deadline=None)
 TestBudgetMachine = BudgetMachine.TestCase
 TestBudgetMachine.settings = _SETTINGS
-TestBeliefMachine = BeliefMachine.TestCase
-TestBeliefMachine.settings = _SETTINGS
+TestHealthMachine = HealthMachine.TestCase
+TestHealthMachine.settings = _SETTINGS
--- a/poplarrelay/entry/tests/test_cells.py
+++ b/poplarrelay/entry/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells of nodes: who is in which, what they tell each other, and what goes wrong."""
+"""Tests of cells: grouping of nodes, exchange of rows and summaries, and failures."""
 
 import zlib
 from random import Random
@@ -31,22 +31,22 @@
 QUOTA = Quota(per_s=1000.0, burst=1000.0, in_tokens=True, default_cost=10.0)
 
 
-def test_live_nodes_are_not_taken_for_dead_at_size():
-    # 75 nodes are alive all the time; one datagram in forty is lost. When each told its
-    # whole row to all others, news of a node was 2.4 s old at others (99 of 100) and
-    # they took one live peer in thirteen for dead: callers were named fewer nodes,
-    # and teams were refused within their quotas.
+def test_live_nodes_do_not_count_as_dead_on_a_large_site():
+    # 75 nodes are alive all the time, and one datagram in forty is lost. When each node
+    # sent its row to all others, rows were 2.4 s old (99 of 100) and one live peer in
+    # thirteen counted as dead. Callers then got fewer addresses, and requests of teams
+    # were rejected within their quotas.
     network = make_network(75, loss=0.025, settle_s=6.0)
-    wrong = pairs = 0
+    false_deaths = pairs = 0
     for _ in network.run(2.0):
         found = network.count_false_deaths()
-        wrong, pairs = wrong + found[0], pairs + found[1]
-    assert wrong / pairs < 0.001
+        false_deaths, pairs = false_deaths + found[0], pairs + found[1]
+    assert false_deaths / pairs < 0.001
 
 
-def test_killed_node_is_named_to_nobody_and_its_cell_is_spoken_for():
-    # The speaker of a cell is killed. Its own cell notices first; the other cells must
-    # neither lose the rest of that cell nor go on naming the speaker.
+def test_killed_representative_is_removed_and_its_cell_stays_listed():
+    # The representative of a cell is killed, and its own cell notices first. Other
+    # cells must neither lose the rest of that cell nor keep the dead node listed.
     network = make_network(60, settle_s=6.0)
     representative = next(
         h for h, t in network.tables.items() if t.is_representative(network.now)
@@ -63,9 +63,10 @@
     )
 
 
-def test_node_whose_news_is_lost_is_asked_before_it_counts_as_dead():
-    # News passed on at random may miss a node for longer than the silence after which
-    # a peer counts as dead. Here every datagram but answers to a question is lost.
+def test_node_whose_updates_are_lost_is_queried_before_it_counts_as_dead():
+    # Gossip goes to random peers and can miss a node for longer than the silence after
+    # which a peer counts as dead. Here all datagrams are lost except replies to
+    # requests.
     network = make_network(3, settle_s=2.0)
     one, other = network.alive[:2]
     network.rounds_lost = True
@@ -74,9 +75,9 @@
         assert other in named
 
 
-def test_nodes_that_start_knowing_only_seeds_find_all_others():
-    # All nodes start at the same moment and know three hosts, which may all be of
-    # other cells and have no use for their rows.
+def test_nodes_that_know_only_seeds_discover_all_others():
+    # All nodes start at the same time and know three hosts. All three can belong to
+    # other cells, which do not keep the rows of the new node.
     network = make_network(60, settle_s=0.0)
     for _ in network.run(5.0):
         pass
@@ -84,9 +85,9 @@
         assert len(table.alive(network.now)) == 59, host
 
 
-def test_messages_of_a_wave_of_stops_stay_bounded():
-    # Every node stops in order at the same moment. A datagram from each to all others
-    # would be 90,000 with 300 nodes; a cell's speaker tells the rest.
+def test_simultaneous_stops_send_a_bounded_number_of_datagrams():
+    # All nodes stop cleanly at the same time. A datagram from each node to all others
+    # would make 90,000 with 300 nodes; representatives inform the other cells instead.
     network = make_network(60, settle_s=6.0)
     before = sum(node.sent_datagrams for node in network.nodes.values())
     for host in network.alive:
@@ -97,10 +98,10 @@
     assert sent <= 60 * 26
 
 
-def test_late_copy_of_an_old_speakers_summary_brings_nobody_back():
-    # A speaker ends, and the next one leaves it out. A datagram with the old summary
-    # was still on its way; taken for news it would name the dead node again.
-    table = _divided_table()
+def test_delayed_summary_of_a_former_representative_is_ignored():
+    # A representative ends, and the next one no longer lists it. A delayed datagram
+    # with the old summary would list the dead node again.
+    table = _make_table_with_cells()
     cell = _other_cell(table)
     old = make_summary(cell, "a-speaker", 5, hosts=["10.0.0.1", "10.0.0.2"])
     assert table.receive_summary(old, 10.0)
@@ -113,17 +114,17 @@
     assert hosts == {"10.0.0.2"}
 
 
-def test_silent_cell_is_named_to_nobody():
-    table = _divided_table()
+def test_addresses_of_a_silent_cell_are_not_returned():
+    table = _make_table_with_cells()
     table.receive_summary(make_summary(_other_cell(table), "s", 1, hosts=["h"]), 10.0)
     assert choose_addresses(table, 1, 10.1, Random(1)) == ["me:1", "h:1"]
     assert choose_addresses(table, 1, 10.1 + CELL_SILENCE_S, Random(1)) == ["me:1"]
 
 
-def test_rows_of_other_cells_are_not_counted_beside_their_summary():
-    # A seed hears rows of nodes that have just started, of whatever cell. Kept beside
-    # the summary of their cell their use would count twice.
-    table = _divided_table()
+def test_rows_of_other_cells_are_not_counted_besides_their_summary():
+    # A seed receives rows of new nodes from any cell. If it kept these rows besides the
+    # summary of their cell, the usage would count twice.
+    table = _make_table_with_cells()
     cell = _other_cell(table)
     stranger = next(
         node
@@ -134,10 +135,10 @@
     assert table.counted(10.0) == []
 
 
-def test_next_speaker_gives_no_use_back():
-    # A cell has used 5,000 tokens since its start. Its speaker ends, and the next one,
-    # which started later, has counted 300. Taken as a difference that would give the
-    # team 4,700 tokens that are spent.
+def test_new_representative_refunds_no_usage():
+    # A cell has used 5,000 tokens since its start. Its representative ends, and the
+    # next one started later and has counted 300. Subtracting one sum from the other
+    # would refund 4,700 used tokens to the team.
     bucket = Bucket.starting(QUOTA, 0.0, 40, True)
     bucket.record_cell_usage("c", "first/0", 4000.0, 10, 0.0)
     bucket.record_cell_usage("c", "first/0", 4400.0, 10, 0.4)
@@ -150,14 +151,14 @@
     assert level - bucket.level == pytest.approx(50.0)
 
 
-def test_cell_counts_as_its_nodes_in_shares_of_the_refill():
+def test_refill_counts_every_node_of_a_reachable_cell():
     bucket = Bucket.starting(QUOTA, 0.0, 40, True)
     bucket.level = 0.0
     bucket.record_cell_usage("c", "r", 0.0, 39, 0.0)
     assert bucket.reachable_fraction(0.1, 40) == 1.0
     bucket.refill(QUOTA, 0.4, 40)
     assert bucket.level == pytest.approx(400.0)
-    # Cut off: what is left is this node's own part.
+    # Once the cell is unreachable, only this node's own share is left.
     assert bucket.reachable_fraction(9.0, 40) == pytest.approx(1 / 40)
 
 
@@ -180,7 +181,7 @@
         ),
     ],
 )
-def test_unreadable_datagram_takes_nothing_away(datagram, caplog):
+def test_malformed_datagram_removes_no_peer(datagram, caplog):
     network = make_network(3, settle_s=2.0)
     host = network.alive[0]
     before = len(network.tables[host].alive(network.now))
@@ -189,8 +190,9 @@
     assert any(line.message == "unreadable news" for line in caplog.records)
 
 
-def test_datagrams_without_cells_are_understood():
-    # During a rolling restart, nodes of the version before send rows and a hint only.
+def test_datagrams_without_cells_are_accepted():
+    # During a rolling restart, nodes of the previous version send only rows and an
+    # announcement.
     network = make_network(3, settle_s=2.0)
     host = network.alive[0]
     row = ["old", "0000000000001-000001", 1, "10.9.9.8", "d", "ready", 1]
@@ -206,10 +208,11 @@
     assert "10.9.9.8" in named
 
 
-def test_questions_between_peers_do_not_use_up_the_news_of_a_departure():
-    # An endpoint leaves while nodes are late and ask each other for their rows. Each
-    # departure is told in four datagrams; spent on answers to single nodes, most peers
-    # learned of it only by asking, and sent it requests meanwhile.
+def test_replies_to_single_peers_do_not_use_up_departure_announcements():
+    # An endpoint leaves while nodes are slow and request each other's rows. A node
+    # announces a departure in four datagrams. When replies to single peers used them
+    # up, most peers got the departure only on request and sent the endpoint requests
+    # until then.
     network = make_network(3, settle_s=2.0)
     node = network.nodes[network.alive[0]]
     plain = ListAnnouncement(Offset(0), NEVER_S)
@@ -225,9 +228,9 @@
     assert exchange.announcement.call_count == 1
 
 
-def test_all_rows_and_summaries_arrive_where_one_datagram_is_too_small():
-    # 120 nodes of one cell would not fit; what was left out of a datagram was not told
-    # again, and nodes that live counted as dead.
+def test_rows_that_exceed_one_datagram_are_split_into_several():
+    # The rows of 120 nodes of one cell exceed a datagram. When the surplus rows were
+    # left out, no later datagram carried them, and live nodes counted as dead.
     rng = Random(1)
     rows = [encode_row(make_row(f"{rng.getrandbits(400):x}")) for _ in range(120)]
     network = make_network(3)
@@ -235,20 +238,20 @@
     packets = node._packets(rows, [], ListAnnouncement(Offset(0), NEVER_S))
     assert len(packets) > 1
     assert all(len(data) <= MAX_DATAGRAM_BYTES for data in packets)
-    told = [
+    sent = [
         row[0]
         for data in packets
         for row in orjson.loads(zlib.decompress(data))["rows"]
     ]
-    assert sorted(told) == sorted(row[0] for row in rows)
+    assert sorted(sent) == sorted(row[0] for row in rows)
 
 
-def test_summary_survives_its_encoding():
+def test_decoded_summary_equals_the_encoded_one():
     summary = make_summary(Cell(2, 3), "s", 7, hosts=["h1", "h2"])
     assert CellSummary.decode(orjson.loads(orjson.dumps(summary.encode()))) == summary
 
 
-def test_number_of_cells_does_not_swing_around_a_bound():
+def test_number_of_cells_is_stable_near_a_bound():
     bits = cell_bits(27, 0)
     assert bits == 1
     for nodes in (26, 25, 27, 20, 16):
@@ -257,7 +260,7 @@
     assert cell_bits(15, bits) == 0
 
 
-def _divided_table():
+def _make_table_with_cells():
     table = PeerTable(make_row("me", host="me"))
     table.regroup(100, 0.0)
     return table
@@ -268,7 +271,10 @@
 
 
 class SumsMachine(RuleBasedStateMachine):
-    """Nodes of one cell use, restart and take turns to speak; another node listens."""
+    """State machine of a cell's usage sums, as another node counts them.
+
+    Three nodes use quota and restart. Any of them can be the representative.
+    """
 
     def __init__(self):
         super().__init__()
@@ -276,50 +282,50 @@
         self.used = 0.0
         self.started = 0
         self.epoch = 0
-        self.rows = [self._fresh(index) for index in range(3)]
-        self.gone = []
+        self.rows = [self._start_node(index) for index in range(3)]
+        self.ended = []
         self.bucket = Bucket.starting(QUOTA, 0.0, 4, True)
         self.level = self.bucket.level
-        self._tell(0)
+        self._send_summary(0)
 
-    def _fresh(self, index):
+    def _start_node(self, index):
         self.started += 1
         return make_row(f"n{index}", started=self.started)
 
-    def _tell(self, representative):
+    def _send_summary(self, representative):
         me = self.rows[representative]
         me.version += 1
-        counted = [*self.rows, *self.gone]
+        counted = [*self.rows, *self.ended]
         summary = summarise(Cell(1, 0), me, self.rows, counted, me.version, self.epoch)
         spent = summary.spent.get(TEAM, 0.0)
         self.bucket.record_cell_usage("c", summary.run, spent, summary.alive, self.now)
 
     @rule(node=st.integers(0, 2), cost=st.integers(1, 50))
-    def use(self, node, cost):
+    def use_quota(self, node, cost):
         row = self.rows[node]
         row.spent[TEAM] = row.spent.get(TEAM, 0.0) + cost
         self.used += cost
 
     @rule(node=st.integers(0, 2))
     def restart(self, node):
-        self.gone.append(self.rows[node])
-        self.rows[node] = self._fresh(node)
+        self.ended.append(self.rows[node])
+        self.rows[node] = self._start_node(node)
 
     @rule()
-    def forget(self):
-        if self.gone:
-            self.gone.pop(0)
+    def drop_oldest_ended_row(self):
+        if self.ended:
+            self.ended.pop(0)
             self.epoch += 1
 
     @rule(representative=st.integers(0, 2))
-    def tell(self, representative):
+    def send_summary(self, representative):
         self.now += 0.4
-        self._tell(representative)
+        self._send_summary(representative)
 
     @invariant()
-    def nothing_is_given_back(self):
-        # No refill is taken here, so the level may only fall, whoever speaks and
-        # whatever rows are forgotten.
+    def usage_is_never_refunded(self):
+        # There is no refill here, so the level must never rise. This must hold for any
+        # representative and after rows are dropped.
         assert self.bucket.level <= self.level + 1e-6
         self.level = self.bucket.level
 
--- a/poplarrelay/entry/tests/test_clock.py
+++ b/poplarrelay/entry/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""True time while some hosts' time of day jumps."""
+"""Tests of the agreed time of day while the clocks of some hosts jump."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,28 +22,29 @@
     st.floats(-5, 5),
 )
 def test_less_than_half_of_the_clocks_cannot_mislead(good, bad, own):
-    # At most two peers and the node itself are wrong, at least four are right.
+    # At most two peers and the node itself have a wrong clock; at least four peers have
+    # a correct one.
     clock = clock_of(own, [*good, *bad])
     assert abs(clock.now() - 1_000_000.0) <= TOLERANCE_S + 0.05
 
 
-def test_request_is_counted_into_the_window_of_true_time():
-    # The host's time of day jumps two seconds ahead right before the end of a
-    # window. Its requests must not be reported one window late.
+def test_request_is_counted_in_the_window_of_the_correct_time():
+    # The clock of the host jumps two seconds ahead just before a window ends. Its
+    # requests must not be counted one window late.
     clock = clock_of(2.0, [0.0, 0.01, -0.01])
     usage = UsageCounts(5.0)
     usage.note(TeamId("alpha"), clock.now() + 4.0)
     assert list(usage.windows) == [200_000]
 
 
-def test_two_nodes_keep_their_own_time():
+def test_single_peer_does_not_change_the_time():
     assert clock_of(0.0, [3.0]).correction == 0.0
 
 
-def test_readings_that_waited_on_the_way_do_not_move_the_time():
-    # This node's link is busy: of each peer's readings every other one waits 0.8 s.
-    # All clocks are right. Counted from the arrival the peers seem to be behind, and
-    # this node would count usage into the window before.
+def test_delayed_readings_do_not_change_the_time():
+    # All clocks are correct, but on a busy link every other reading of each peer is
+    # delayed by 0.8 s. Such readings make the peers' clocks look slow, and this node
+    # would count usage in the previous window.
     clock = ClusterClock(wall=lambda: 1000.0 + now)
     for step in range(12):
         now = 0.2 * step
--- a/poplarrelay/entry/tests/test_duties.py
+++ b/poplarrelay/entry/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""The duties: one holder at a time, and one count for each window."""
+"""Tests of the duties: one holder at a time, and one usage report for each window."""
 
 import asyncio
 from itertools import pairwise
@@ -33,17 +33,17 @@
 
 
 class TestLease:
-    def test_holder_stops_before_the_store_may_pass_the_duty_on(self):
-        # Renewals fail, as when the store is away. The node must not act at a time
-        # at which another one may hold the duty already.
+    def test_holder_stops_before_another_node_can_hold_the_duty(self):
+        # Renewals fail, for example during an outage of the store. The node must not
+        # act at a time at which another node can already hold the duty.
         lease = DutyLease(ttl_s=2.0, wait_s=0.0, last_action_at=-10.0)
         assert lease.renew(True, 5, 0.0) is LeaseChange.TAKEN
         assert lease.may_act(1.3)
         assert not lease.may_act(1.5)
 
-    def test_duty_that_comes_back_waits_for_the_nodes_own_last_act(self):
-        # The duty goes from this node to another and back within a second. Acting at
-        # once would make the order of holders A, B, A within the bound of 3 s.
+    def test_regained_duty_waits_after_the_last_action_of_this_node(self):
+        # The duty moves from this node to another one and back within a second. If this
+        # node acted at once, the holders would be A, B, A within the bound of 3 s.
         lease = DutyLease(ttl_s=2.0, wait_s=3.0, last_action_at=-10.0)
         lease.renew(True, 5, 0.0)
         assert lease.may_act(0.1)
@@ -54,7 +54,7 @@
         lease.renew(True, 7, 2.5)
         assert lease.may_act(3.6)
 
-    def test_later_tenure_has_a_larger_token(self):
+    def test_later_lease_term_has_a_larger_token(self):
         lease = DutyLease(ttl_s=2.0, wait_s=0.0)
         lease.renew(True, 5, 0.0)
         lease.renew(True, 6, 0.5)
@@ -63,29 +63,31 @@
         lease.renew(True, 9, 1.5)
         assert lease.token == 9
 
-    def test_frozen_holder_does_not_act(self):
+    def test_holder_does_not_act_after_a_freeze(self):
+        # A frozen process relinquishes the lease when it resumes, since the lease can
+        # have expired during the freeze.
         lease = DutyLease(ttl_s=2.0, wait_s=0.0, last_action_at=-10.0)
         lease.renew(True, 5, 0.0)
         lease.relinquish()
         assert not lease.may_act(0.1)
 
 
-def test_few_nodes_stand_for_the_duties_and_others_step_in():
-    # 195 nodes that all stay in the group call the store 355 times a second to have one
-    # holder. When the nine that stand for it are killed at once, others must follow.
+def test_few_nodes_are_candidates_and_others_replace_them():
+    # If 195 nodes all stayed in the group, they would call the store 355 times a second
+    # for one holder. When the nine candidates are killed, others must replace them.
     nodes = [NodeId(f"node-{number}") for number in range(195)]
 
-    def standing(alive):
+    def candidates(alive):
         return {n for n in alive if is_candidate(n, [o for o in alive if o != n])}
 
-    first = standing(nodes)
+    first = candidates(nodes)
     assert len(first) == CANDIDATES
     left = [node for node in nodes if node not in first]
-    assert len(standing(left)) == CANDIDATES
-    assert standing(nodes[:9]) == set(nodes[:9])
+    assert len(candidates(left)) == CANDIDATES
+    assert candidates(nodes[:9]) == set(nodes[:9])
 
 
-def test_first_record_of_a_window_counts():
+def test_first_ledger_record_of_a_window_is_used():
     ledger = UsageLedger()
     ledger.add_record(UsageLedger.encode(7, {TeamId("alpha"): 3}))
     ledger.add_record(UsageLedger.encode(7, {TeamId("alpha"): 9}))
@@ -113,9 +115,9 @@
 
 
 @pytest.mark.parametrize("lost", [False, True], ids=["answered", "answers lost"])
-def test_successor_repeats_what_was_decided(lost):
-    # The holder has reported a window, perhaps without getting an answer, and dies.
-    # Its successor knows other counts, as requests came late. It must repeat the
+def test_next_holder_repeats_the_decided_counts(lost):
+    # The holder reports a window, with or without a response, and is killed. The next
+    # holder knows other counts, since some requests arrived late. It must repeat the
     # decided counts, or the platform accepts two different reports of one window.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
@@ -131,7 +133,7 @@
             await poll_until(lambda: len(site.cloud.windows()) > reported + 1)
             site.cloud.lose_answers = False
             await site.kill_node(first)
-            # The successor has heard of more requests since.
+            # The next holder knows of more requests than were reported.
             successor = next(iter(site.nodes.values())).state
             for window in site.cloud.windows():
                 successor.usage.windows[window] = {TeamId("alpha"): 99}
@@ -147,9 +149,9 @@
     run_scenario(scenario)
 
 
-def test_partitions_dealt_anew_leave_one_holder():
-    # The store gives the duty to another node without being asked. The old holder
-    # learns of it at its next renewal; its calls in between bear the smaller token.
+def test_rebalanced_group_has_one_holder():
+    # The store moves the duty to another node by itself. The old holder notices this at
+    # its next renewal; until then its calls carry the smaller token.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await site.add_runner("r1", CALLS)
@@ -172,9 +174,9 @@
     run_scenario(scenario)
 
 
-def test_duties_are_caught_up_after_an_outage():
-    # The store is silent for some windows. Nobody may act meanwhile; afterwards the
-    # missing windows are reported.
+def test_missed_windows_are_reported_after_an_outage():
+    # The store does not answer for several windows, and no node can act. After the
+    # outage the missing windows must be reported.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             await site.add_runner("r1", CALLS)
@@ -185,7 +187,7 @@
                 store_listener.outage = Outage.SILENT
             await site.call("/look/x")
             await asyncio.sleep(3.5)
-            # The silent outage must have lasted for several windows.
+            # The outage must have lasted for several windows.
             during = set(site.cloud.windows())
             for store_listener in site.store_listeners.values():
                 store_listener.outage = Outage.NONE
@@ -211,7 +213,7 @@
     }
 
 
-def test_reclaimable_endpoints_are_ordered_in_each_domain():
+def test_reclaimable_endpoints_are_ordered_in_each_failure_domain():
     async def scenario():
         async with run_entry_site(nodes=1) as site:
             site.configure(2, **scaling_configuration())
@@ -230,10 +232,10 @@
     run_scenario(scenario)
 
 
-def test_wave_does_not_cancel_endpoints_that_are_booting():
-    # Reclaimable endpoints are ordered in two domains. Those of the north still boot
-    # when a wave takes the south's. They are needed more than ever; the orders for
-    # them must not be lowered to what serves at that moment, which is none.
+def test_reclaim_wave_does_not_cancel_endpoints_that_are_booting():
+    # Reclaimable endpoints are ordered in two domains. Those in the north are still
+    # booting when all those in the south are reclaimed. Orders for the north must not
+    # drop to the number that serves at that moment, which is zero.
     async def scenario():
         async with run_entry_site(nodes=1) as site:
             site.configure(2, **scaling_configuration())
@@ -256,7 +258,7 @@
             await poll_until(lambda: "r2" in rows)
             site.list_runner("r1", STREAMS, state="draining")
             site.list_runner("r2", STREAMS, state="draining", **southern)
-            # That on-demand endpoints are ordered shows that the wave was noticed.
+            # Orders for on-demand endpoints show that the reclaim wave was detected.
             await poll_until(lambda: max(desired("south", False), default=0) > 0)
             orders = desired("north", True)
             assert orders == sorted(orders)
@@ -264,7 +266,7 @@
     run_scenario(scenario)
 
 
-def test_order_is_repeated_where_the_answer_was_lost():
+def test_order_is_repeated_if_its_response_was_lost():
     async def scenario():
         async with run_entry_site(nodes=1) as site:
             site.cloud.lose_answers = True
@@ -282,11 +284,11 @@
     run_scenario(scenario)
 
 
-def test_counts_whose_append_was_not_answered_stay_as_decided(monkeypatch):
-    # The holder decides a window, and the store's answer is lost though it took the
-    # record. More requests of that window are heard of before it tries again. With
-    # the newer counts under the same sequence number the store repeats its first
-    # answer and keeps the first record: a successor then reports other counts.
+def test_unanswered_append_is_repeated_with_the_same_counts(monkeypatch):
+    # The holder decides a window. The store stores the record, but its response is
+    # lost. The holder then learns of more requests in that window. If it sent the newer
+    # counts with the same sequence number, the store would keep the first record and
+    # repeat its first response, and the next holder would report different counts.
     async def scenario():
         async with run_entry_site(nodes=1) as site:
             await site.add_runner("r1", CALLS)
--- a/poplarrelay/entry/tests/test_freshness.py
+++ b/poplarrelay/entry/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""How old lists of endpoints are, and what nodes confirm to each other."""
+"""Tests of the age of endpoint lists and of confirmations between nodes."""
 
 import asyncio
 from functools import partial
@@ -35,7 +35,7 @@
 
 
 def network(count: int) -> EndpointListNetwork:
-    """Return nodes that have all read the same two endpoints."""
+    """Return a network whose nodes have all read the same two endpoints."""
     found = EndpointListNetwork.of(count, Random(7))
     for name in ("r1", "r2"):
         found.write(name, endpoint_record())
@@ -44,11 +44,11 @@
     return found
 
 
-class TestQuestions:
-    def test_answer_counts_from_the_question(self):
-        # The question waits for 0.7 s and the answer for 0.9 s in busy links. The peer
-        # read just before it answered; the list is taken as of the question all the
-        # same, since nobody can tell the one wait from the other.
+class TestRequests:
+    def test_reply_confirms_the_list_for_the_time_of_the_request(self):
+        # On busy links the request takes 0.7 s and the reply 0.9 s. The peer reads the
+        # store just before it replies. The list still counts as confirmed when the
+        # request was sent, since the node cannot tell the two delays apart.
         lists = network(2)
         asker, peer = lists.nodes.values()
         lists.now += 2.0
@@ -61,7 +61,7 @@
         lists.deliver_next(ChangesReply)
         assert asker.confirmed_at == pytest.approx(asked_at)
 
-    def test_older_peer_changes_nothing(self):
+    def test_reply_of_a_peer_with_an_older_list_confirms_nothing(self):
         lists = network(2)
         asker, peer = lists.nodes.values()
         lists.now += 2.0
@@ -73,9 +73,9 @@
         assert asker.confirmed_at == before
         assert peer.confirmed_at < before
 
-    def test_hint_alone_confirms_nothing(self):
-        # Nobody can tell how long a hint was on its way; it brings a departure, which
-        # holds whenever it comes, and shows whom to ask.
+    def test_announcement_alone_confirms_nothing(self):
+        # The time in flight of an announcement is unknown. Its departures are valid
+        # even if they are late, and it shows which peer can be asked.
         lists = network(2)
         asker, peer = lists.nodes.values()
         before = asker.confirmed_at
@@ -91,9 +91,9 @@
             ChangesRequest
         ]
 
-    def test_answer_that_does_not_hold_all_does_not_confirm(self):
-        # More endpoints came than a datagram holds. The asker takes what fits, knows
-        # that there is more, and reads the store before its list's age would have it.
+    def test_incomplete_reply_does_not_confirm_the_list(self):
+        # More endpoints were added than fit into a datagram. The asker applies the part
+        # that fits and reads the store before the age of its list requires it.
         lists = network(2)
         asker, peer = lists.nodes.values()
         asker.read()
@@ -112,9 +112,9 @@
         asker.read()
         assert asker.uses("n199")
 
-    def test_answer_from_before_a_freeze_confirms_nothing(self):
-        # The process stands still while an answer lies in its socket, and its clock
-        # with it: the answer seems to have come at once.
+    def test_reply_to_a_request_from_before_a_freeze_confirms_nothing(self):
+        # The process and its clock are frozen while a reply waits in the socket, so the
+        # reply seems to have arrived immediately.
         lists = network(2)
         asker, peer = lists.nodes.values()
         lists.now += 2.0
@@ -125,9 +125,9 @@
         lists.deliver_next(ChangesReply)
         assert asker.confirmed_at == float("-inf")
 
-    def test_two_lists_of_the_same_records_are_read_anew(self):
-        # One node missed a removal, for whatever reason. It and a peer know the same
-        # records, but not the same endpoints: both read everything again.
+    def test_lists_that_differ_for_the_same_records_are_read_again(self):
+        # One node missed a removal. It knows the same records as a peer, but has a
+        # different list of endpoints: a full read of the store must follow.
         lists = network(2)
         asker, peer = lists.nodes.values()
         peer.state.endpoints.drop(EndpointId("r1"))
@@ -140,36 +140,37 @@
         assert asker.full_reads_requested == 1
 
 
-def test_after_a_freeze_the_store_is_read_at_once():
-    mine = ListFreshness(Random(1), TIMES)
-    mine.note_read(5.0, Offset(3))
-    assert mine.due_in_s(5.0) >= TIMES.earliest_read_s
-    mine.invalidate()
-    assert mine.due_in_s(5.1) < 0
+def test_store_is_read_immediately_after_a_freeze():
+    freshness = ListFreshness(Random(1), TIMES)
+    freshness.note_read(5.0, Offset(3))
+    assert freshness.due_in_s(5.0) >= TIMES.earliest_read_s
+    freshness.invalidate()
+    assert freshness.due_in_s(5.1) < 0
 
 
 def test_wait_for_a_peer_ends_at_the_latest_time_to_read():
-    # Guards against a list that gets too old while one peer after the other reads.
-    mine = ListFreshness(Random(1), TIMES, nodes=8)
-    mine.note_read(5.0, Offset(3))
+    # Guards against a list that gets too old while one peer after another reads.
+    freshness = ListFreshness(Random(1), TIMES, nodes=8)
+    freshness.note_read(5.0, Offset(3))
     latest_at = 5.0 + TIMES.latest_read_s
-    mine.wait_for_peer_read(latest_at - 0.01)
-    assert mine.due_in_s(latest_at) <= 0
+    freshness.wait_for_peer_read(latest_at - 0.01)
+    assert freshness.due_in_s(latest_at) <= 0
 
 
 @given(st.integers(100, 60_000))
 def test_reads_end_before_the_bound_with_one_answer_missing(bound_ms):
-    # A list that nobody has renewed, a read without an answer, the pause, the read
-    # again, and the request's own way: all of it within the bound of the settings.
+    # The longest case must fit into the bound of the settings: a list that no peer
+    # confirms, a read that times out, the pause, the second read and the time for
+    # sending a request.
     times = ListTimes.from_config(BoundSettings(leaving_endpoint_ms=bound_ms))
     longest_s = times.latest_read_s + times.answer_s + times.pause_s + times.answer_s
     assert longest_s <= times.max_list_age_s < times.bound_s == bound_ms / 1000
 
 
-def test_claims_that_go_round_do_not_keep_a_list_fresh():
-    # Three nodes tell each other in a circle. Each datagram takes 60 ms. Only the first
-    # node has read the store, once: after two seconds all three must know that their
-    # lists are old, else an endpoint that has left would get requests.
+def test_confirmations_in_a_circle_do_not_keep_a_list_fresh():
+    # Three nodes confirm their lists to each other in a circle. Each datagram takes
+    # 60 ms. No node reads the store again. After two seconds all three lists must
+    # count as old, or an endpoint that has left would get requests.
     lists = network(3)
     read_at = lists.now
     lists.run(2.0, step_s=0.02, latency_s=0.06)
@@ -178,10 +179,10 @@
     assert all(node.state.freshness.due_in_s(node.now()) < 0 for node in nodes)
 
 
-def test_read_does_not_get_younger_on_a_long_way():
-    # One node of sixty has read the store. All are busy: a datagram lies for 0.2 s
-    # until it is read. However many nodes pass the read on, no list seems younger than
-    # that read; and all have it, since each way ends at a node that has asked.
+def test_list_age_never_falls_when_nodes_pass_a_read_on():
+    # One node of sixty reads the store. All nodes are busy, and a datagram waits for
+    # 0.2 s. The read reaches the other nodes by requests and replies, and no list looks
+    # younger than that read.
     lists = network(60)
     lists.now += 0.7
     first = lists.nodes["n0"]
@@ -193,7 +194,7 @@
     assert sum(node.confirmed_at > read_at - 0.7 for node in nodes) >= 58
 
 
-def test_departure_reaches_all_nodes_within_tenths():
+def test_departure_reaches_all_nodes_within_tenths_of_a_second():
     # One node of seventy-five reads that an endpoint leaves; datagrams take 10 ms.
     lists = network(75)
     lists.now += 0.7
@@ -204,9 +205,9 @@
     assert all(node.uses("r2") for node in lists.nodes.values())
 
 
-def test_node_that_has_read_is_asked_by_few_and_answers_with_little():
-    # Sixty nodes hear that one has read a newer list. When all asked it for the whole,
-    # sixty answers of 45 KB kept its small link busy for seconds.
+def test_reader_gets_few_requests_and_sends_small_replies():
+    # One of sixty nodes reads a newer list. When all others requested the complete list
+    # from it, sixty replies of 45 KB kept its slow link busy for seconds.
     lists = network(60)
     lists.run(0.1, step_s=0.02, latency_s=0.01)
     for number in range(100):
@@ -229,7 +230,7 @@
 @pytest.mark.parametrize("answer_s", [0.005, 0.25])
 @pytest.mark.parametrize("count", [8, 26])
 def test_slow_store_is_not_read_by_all_nodes(count, answer_s):
-    # Guards against nodes that all read while one of them waits for a slow store.
+    # Guards against all nodes reading while one of them waits for a slow store.
     lists = network(count)
     for node in lists.nodes.values():
         node.state.freshness.nodes = count
@@ -241,8 +242,8 @@
 
 
 def test_leaving_endpoint_is_known_everywhere_in_time_with_few_reads():
-    # Eight nodes serve and confirm each other's lists, so that few of them read the
-    # store. An endpoint leaves: all of them learn it nevertheless.
+    # Eight nodes confirm each other's lists, so few of them read the store. When an
+    # endpoint leaves, all eight must still learn of it.
     async def scenario():
         async with run_entry_site(nodes=8) as site:
             await site.add_runner("r1", CALLS)
@@ -256,7 +257,7 @@
                 lambda: all(s.freshness.confirmed_at > began + 3 for s in states)
             )
             passed_s = monotonic() - began
-            # Each by itself, the nodes would read eight times in 1.2 s at the least.
+            # Without confirmations the nodes would read at least eight times in 1.2 s.
             alone = len(states) * passed_s / 1.2
             assert 1 <= _reads(site) - before < 0.5 * alone
             site.list_runner("r1", CALLS, state="draining")
@@ -266,10 +267,10 @@
     run_scenario(scenario)
 
 
-def test_newer_list_is_not_asked_of_the_peer_that_told_of_it():
-    # Sixty nodes hear at once that one has read a newer list. Its link is small: sixty
-    # answers with all endpoints would keep it busy for seconds. Nobody asks a peer for
-    # the whole list while its own is young; once it is old, any peer is asked.
+def test_complete_list_is_requested_only_if_the_own_list_is_old():
+    # Sixty nodes learn at the same time that one node has read a newer list. Sixty
+    # replies with all endpoints would keep its slow link busy for seconds. A node whose
+    # list is young requests no complete list; a node whose list is old asks any peer.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             for name in site.nodes:
@@ -292,7 +293,7 @@
     run_scenario(scenario)
 
 
-def test_node_that_has_ended_tells_nothing():
+def test_stopped_node_sends_no_datagrams():
     # Guards against timers that use the datagram port after it was closed.
     async def scenario():
         errors = []
@@ -314,10 +315,10 @@
     run_scenario(scenario)
 
 
-def test_old_list_alone_does_not_keep_an_endpoint_that_is_gone():
-    # The store answers all the time, but this node's list has got old, as after some
-    # slow reads. An endpoint's record is removed: it gets no request more, since only
-    # records that lapse while the store is away may come back.
+def test_old_list_alone_does_not_keep_a_removed_endpoint():
+    # The store answers all the time, but this node's list is old, for example after
+    # slow reads. The record of an endpoint is removed. The endpoint must get no more
+    # requests, since only records that expire during an outage can be restored.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
@@ -332,7 +333,7 @@
     run_scenario(scenario)
 
 
-def test_node_without_peers_reads_by_itself():
+def test_node_without_peers_reads_the_store_itself():
     async def scenario():
         async with run_entry_site() as site:
             await site.ready()
@@ -352,7 +353,7 @@
 
 
 def _reads(site: EntrySite) -> int:
-    """Return the reads of the endpoints' topic that the store has answered."""
+    """Return the number of endpoint topic reads that the store has answered."""
     return site.store.reads["keyed.servers"]
 
 
