--- a/poplarrelay/entry/cells.py
+++ b/poplarrelay/entry/cells.py
@@ -144,7 +144,7 @@
 
     @property
     def run(self) -> str:
-        """Return an id of the summaries whose sums fall only by refunds."""
+        """Return an id; between summaries with one id, sums fall only by refunds."""
         return f"{self.incarnation}/{self.epoch}"
 
     @property
@@ -203,7 +203,7 @@
 
 def summarise(
     cell: Cell,
-    me: PeerRow,
+    representative: PeerRow,
     listed: Iterable[PeerRow],
     counted: Iterable[PeerRow],
     version: int,
@@ -215,7 +215,7 @@
     ----------
     cell : Cell
         The cell.
-    me : PeerRow
+    representative : PeerRow
         Row of the representative; also in `listed` and `counted`.
     listed : iterable of PeerRow
         Rows of nodes that are alive or have left after a clean stop.
@@ -226,7 +226,7 @@
     """
     usage: dict[WindowNumber, dict[TeamId, int]] = {}
     spent: dict[TeamId, float] = {}
-    started_ms = start_of(me)
+    started_ms = start_of(representative)
     for row in counted:
         started_ms = min(started_ms, start_of(row))
         _add_values(spent, row.spent)
@@ -242,8 +242,8 @@
             _add_values(demand, row.demand)
     return CellSummary(
         cell=cell,
-        representative=me.node,
-        incarnation=me.incarnation,
+        representative=representative.node,
+        incarnation=representative.incarnation,
         version=version,
         epoch=epoch,
         started_ms=started_ms,
--- a/poplarrelay/entry/clock.py
+++ b/poplarrelay/entry/clock.py
@@ -16,7 +16,7 @@
 TOLERANCE_S = 0.25
 #: Age in seconds from which a clock reading of a peer is discarded.
 MAX_READING_AGE_S = 3.0
-#: Number of recent clock readings kept for each peer.
+#: Number of recent clock readings stored for each peer.
 MAX_READINGS_PER_PEER = 4
 
 
@@ -72,8 +72,10 @@
             Monotonic time of arrival.
         """
         # The reading is stored relative to the monotonic clock, which never jumps.
-        kept = self._readings.setdefault(peer, deque(maxlen=MAX_READINGS_PER_PEER))
-        kept.append((peer_wall - at, at))
+        peer_readings = self._readings.setdefault(
+            peer, deque(maxlen=MAX_READINGS_PER_PEER)
+        )
+        peer_readings.append((peer_wall - at, at))
         self._pending_reading = (at, self._wall() - at)
 
     def _update_correction(self) -> None:
@@ -89,8 +91,8 @@
         at, own = self._pending_reading
         self._pending_reading = None
         readings = []
-        for peer, kept in list(self._readings.items()):
-            offset = _least_delayed_offset(kept, at)
+        for peer, peer_readings in list(self._readings.items()):
+            offset = _least_delayed_offset(peer_readings, at)
             if offset is None:
                 del self._readings[peer]
             else:
@@ -125,7 +127,7 @@
 
     def __init__(self, threshold_s: float) -> None:
         self._threshold_s = threshold_s
-        self._last = self._read_clock()
+        self._last_check = self._read_clock()
 
     @staticmethod
     def _read_clock() -> float:
@@ -134,6 +136,6 @@
     def check(self) -> float:
         """Return the length in seconds of a pause since the last check, 0 if none."""
         now = self._read_clock()
-        gap = now - self._last
-        self._last = now
+        gap = now - self._last_check
+        self._last_check = now
         return gap if gap > self._threshold_s else 0.0
--- a/poplarrelay/entry/host_directory.py
+++ b/poplarrelay/entry/host_directory.py
@@ -43,10 +43,10 @@
 
     Notes
     -----
-    Seeds can be stale, down, or on the other side of a network partition. Nodes that
-    know only seeds could form groups that never discover each other. To prevent this,
-    each node writes one record when it starts and reads all records about once in
-    `COMPLETE_INTERVAL_S`.
+    The seed hosts in the settings can be stale, down, or on the other side of a network
+    partition. Nodes that know only seeds could form groups that never discover each
+    other. To prevent this, each node writes one record when it starts and reads all
+    records about once in `COMPLETE_INTERVAL_S`.
     """
 
     def __init__(self, state: EntryState, store: Store) -> None:
