--- a/bench/entry_safeguards.py
+++ b/bench/entry_safeguards.py
@@ -510,7 +510,7 @@
     Safeguard(
         "a silent keeper is not asked again at once",
         f"{ENTRY}/backlog_client.py",
-        "                self._silent_until[host] = silent_until\n",
+        "                self._skip_until[host] = skip_until\n",
         "                pass\n",
         "test_backlogs.py",
     ),
@@ -524,14 +524,14 @@
     Safeguard(
         "on-demand endpoints stay until others serve",
         f"{ENTRY}/sizing.py",
-        "    count = min(max(sum(on_demand.values()), least), most)\n",
-        "    count = least\n",
+        "    count = min(max(sum(on_demand.values()), min_count), max_count)\n",
+        "    count = min_count\n",
         "test_sizing.py",
     ),
     Safeguard(
         "no room for what cannot be had",
         f"{ENTRY}/sizing.py",
-        "serving[d] if d in given.exhausted_domains else reclaimable[d]",
+        "serving[d] if d in inputs.exhausted_domains else reclaimable[d]",
         "reclaimable[d]",
         "test_sizing.py",
     ),
--- a/poplarrelay/entry/attempts.py
+++ b/poplarrelay/entry/attempts.py
@@ -1,4 +1,4 @@
-"""Sending a request to one endpoint and taking what comes back."""
+"""Attempts to run a request at one endpoint."""
 
 from __future__ import annotations
 
@@ -41,25 +41,27 @@
 
 __all__ = ["Attempt", "AttemptPlan", "StreamProgress"]
 
-#: Largest answer that is held in memory until it is whole.
+#: Maximum size of an answer that is held in memory until it is complete.
 MAX_ANSWER_BYTES = 8_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptPlan:
-    """How one attempt is made.
+    """Parameters of one attempt.
 
     Attributes
     ----------
     until : float
-        Monotonic time at which nobody waits any more.
+        Monotonic time of the request's deadline.
     fetch_from : tuple of str and int, or None
-        Where the endpoint may fetch the KV cache of the prompt's shared part.
+        Address from which the endpoint can fetch the KV cache of the prompt's shared
+        parts.
     pass_credentials : bool
-        Whether the endpoint checks callers itself.
+        Whether the caller's credentials are forwarded, because the endpoint checks them
+        itself.
     patience_s : float or None
-        Silence after which the endpoint is given up for another one, None to wait
-        until the end: where no second attempt is allowed, nothing is gained.
+        Seconds without data after which the attempt fails. None means no such limit:
+        if no further attempt is allowed, an early end gains nothing.
     """
 
     endpoint: Endpoint
@@ -73,16 +75,17 @@
 
 @dataclass(slots=True)
 class StreamProgress:
-    """What of a stream the caller has.
+    """Part of a stream that has been forwarded to the caller.
 
     Attributes
     ----------
     last_id : bytes or None
-        Id of the last event that was passed on, or where the caller asked to go on.
+        Id of the last forwarded event, or the id after which the caller asked to
+        resume.
     """
 
     last_id: bytes | None
-    passed_bytes: int = 0
+    forwarded_bytes: int = 0
     first_event_at: float | None = None
 
 
@@ -92,8 +95,9 @@
 
     Attributes
     ----------
-    on_begun : callable
-        Is told the time from sending to the first byte that shows that it runs.
+    on_started : callable
+        Called with the seconds from sending the request until its complete answer, or
+        the first event of its stream, was received.
     on_limit : callable
         Called with the limit stated in the answer and the monotonic time at which
         the request was sent.
@@ -103,14 +107,17 @@
     exchange: Exchange
     plan: AttemptPlan
     pool: ConnectionPool
-    on_begun: Callable[[float], None]
+    on_started: Callable[[float], None]
     on_limit: Callable[[StatedLimit, float], None]
     progress: StreamProgress = field(default_factory=lambda: StreamProgress(None))
     _connection: Connection | None = None
     _sent_at: float = 0.0
 
     async def run(self) -> AttemptResult:
-        """Send the request and pass on the answer, or return what went wrong."""
+        """Send the request and return its answer, or how the attempt failed.
+
+        A stream is forwarded to the caller as it arrives.
+        """
         try:
             return await self._run()
         except ExchangeFailed as failure:
@@ -121,19 +128,19 @@
         except TimeoutError:
             return self._failed("silent", sent=self._sent_at > 0, silent=True)
         finally:
-            # Also when the caller has left: an endpoint drops a request whose
-            # connection closes, and works on for nobody otherwise.
+            # An endpoint drops a request when its connection closes. Without this, it
+            # would continue to work for a caller that has disconnected.
             if self._connection is not None:
                 self._connection.abort()
 
     def _failed(
-        self, why: str, sent: bool, silent: bool = False, closed: bool = False
+        self, reason: str, sent: bool, silent: bool = False, closed: bool = False
     ) -> AttemptResult:
         if not sent:
-            return NotRun(why, arrived=False)
+            return NotRun(reason, arrived=False)
         if self.exchange.begun:
-            return StreamBroken(why, silent, closed)
-        return Broken(why, silent, closed)
+            return StreamBroken(reason, silent, closed)
+        return Broken(reason, silent, closed)
 
     async def _run(self) -> AttemptResult:
         await self._send()
@@ -142,26 +149,26 @@
             head = await self._connection.response_head()
         echoed = echoed_request(head.headers)
         if echoed is not None and echoed != self.request.request:
-            # A late second answer to the request before on this connection.
+            # This is a late second answer to the previous request on the connection.
             raise ExchangeFailed("answer to another request", sent=True)
         stated = stated_limit(head.headers)
         if head.status == 200 or stated.per_s is not None:
             # Answers with another status may omit the header while a limit applies.
             self.on_limit(stated, self._sent_at)
         if head.status == 200 and not _closes(head):
-            # An endpoint that leaves closes its connections with every answer.
+            # A leaving endpoint closes its connections with every answer.
             self.plan.endpoint.last_accepting_at = self._sent_at
         if head.status == 200 and _is_event_stream(head):
-            return await self._pass_on(head)
+            return await self._forward_stream(head)
         return await self._collect(head)
 
     async def _send(self) -> None:
         plan = self.plan
         self._connection = await self.pool.take(plan.endpoint.address)
         if not plan.endpoint.accepts_work:
-            # It left while this node connected, which takes up to 0.6 s. Nothing has
-            # been sent, so the request may go to any other endpoint.
-            raise ExchangeFailed("the endpoint left meanwhile", sent=False)
+            # The endpoint left while this node connected, which takes up to 0.6 s.
+            # Nothing has been sent, so the request can go to any other endpoint.
+            raise ExchangeFailed("endpoint left during connect", sent=False)
         remaining_s = plan.until - monotonic()
         headers = attempt_headers(
             self.request,
@@ -181,23 +188,23 @@
         self._sent_at = monotonic()
 
     async def _collect(self, head: ResponseHead) -> AttemptResult:
-        """Take a whole answer; half an answer must never look like one."""
+        """Return a complete answer; a truncated answer must never count as complete."""
         assert self._connection is not None
         async with asyncio.timeout(self.plan.patience_s):
             body = await self._connection.body(MAX_ANSWER_BYTES)
-        self._give_back(head.headers)
+        self._return_connection(head.headers)
         if not_executed(head.status, head.headers):
             return NotRun(
                 f"refused with {head.status}",
                 arrived=True,
                 gone=head.status == HTTPStatus.MISDIRECTED_REQUEST,
             )
-        self.on_begun(monotonic() - self._sent_at)
+        self.on_started(monotonic() - self._sent_at)
         headers = response_headers(head.headers)
         return Answered(head.status, headers, body, head.framed)
 
-    async def _pass_on(self, head: ResponseHead) -> AttemptResult:
-        """Pass events on as they come, whole ones only."""
+    async def _forward_stream(self, head: ResponseHead) -> AttemptResult:
+        """Forward events as they arrive, complete events only."""
         assert self._connection is not None
         splitter = EventSplitter()
         while True:
@@ -207,38 +214,40 @@
                 break
             events = splitter.feed(part)
             if events.content:
-                await self._write(head, events.content, events.last_id)
+                await self._forward_events(head, events.content, events.last_id)
         if splitter.rest:
             if not head.framed:
-                # The connection ended inside an event: a crash, not an end.
-                raise ExchangeFailed("ended inside an event", sent=True, closed=True)
-            await self._write(head, splitter.rest, None)
-        self._give_back(head.headers)
+                # The connection closed inside an event, so the endpoint has crashed.
+                raise ExchangeFailed(
+                    "connection closed inside an event", sent=True, closed=True
+                )
+            await self._forward_events(head, splitter.rest, None)
+        self._return_connection(head.headers)
         self._start(head)
         self.exchange.finish()
-        return Streamed(self.progress.passed_bytes, head.framed)
+        return Streamed(self.progress.forwarded_bytes, head.framed)
 
     def _start(self, head: ResponseHead) -> None:
         if not self.exchange.begun:
             self.exchange.start(head.status, response_headers(head.headers))
 
-    async def _write(
+    async def _forward_events(
         self, head: ResponseHead, content: bytes, last_id: bytes | None
     ) -> None:
         if self.progress.first_event_at is None:
             self.progress.first_event_at = monotonic()
-            self.on_begun(self.progress.first_event_at - self._sent_at)
+            self.on_started(self.progress.first_event_at - self._sent_at)
         self._start(head)
         if last_id is not None:
             self.progress.last_id = last_id
-        self.progress.passed_bytes += len(content)
+        self.progress.forwarded_bytes += len(content)
         await self.exchange.write(content)
 
-    def _give_back(self, headers: Headers) -> None:
+    def _return_connection(self, headers: Headers) -> None:
         assert self._connection is not None
         if self.plan.endpoint.gone:
-            # Another run may listen at the same address; a request sent over this
-            # connection would be lost, and nobody could tell whether it ran.
+            # Another run may listen at the same address. A request sent over this
+            # connection would be lost, and its outcome would be unknown.
             return
         self.pool.give_back(self.plan.endpoint.address, self._connection, headers)
         self._connection = None
@@ -250,5 +259,5 @@
 
 
 def _is_event_stream(head: ResponseHead) -> bool:
-    kind = header_value(head.headers, b"content-type") or b""
-    return kind.strip().lower().startswith(b"text/event-stream")
+    content_type = header_value(head.headers, b"content-type") or b""
+    return content_type.strip().lower().startswith(b"text/event-stream")
--- a/poplarrelay/entry/backlog_client.py
+++ b/poplarrelay/entry/backlog_client.py
@@ -1,4 +1,4 @@
-"""Asking the nodes that keep count of engines' prompts what is in line there."""
+"""Client for the backlogs of engines, which coordinator nodes keep."""
 
 from __future__ import annotations
 
@@ -18,88 +18,90 @@
 )
 from poplarrelay.identifiers import EndpointId, NodeId, RequestId
 
-__all__ = ["BacklogClient", "Carrier", "choose_coordinator"]
+__all__ = ["BacklogClient", "BacklogSender", "choose_coordinator"]
 
 _LOG = logging.getLogger("poplarrelay.entry.survey")
 
-#: Seconds for which the answers to a question are waited for. A way between domains
-#: and back takes a millisecond, a busy node some more; beyond that a request loses
-#: more by the wait than by a worse choice.
-ANSWER_WAIT_S = 0.02
-#: Seconds for which a node that left a question unanswered is not asked again, so
-#: that one that is down or cut off costs a wait now and then and not every request.
+#: Timeout in seconds for replies. A round trip between domains takes a millisecond, and
+#: a busy node takes longer. A longer wait costs a request more than a worse choice of
+#: the endpoint.
+REPLY_TIMEOUT_S = 0.02
+#: Seconds for which a node that did not reply gets no further requests, so that an
+#: unreachable node delays a request only once in this time.
 SILENT_S = 0.5
 
-#: Kinds of message, the first element of each.
-QUESTION, ANSWER, PLACED, TAKEN_OUT = "ask", "told", "placed", "out"
+#: Message kinds, sent as the first element of each message.
+REQUEST, REPLY, ADDED, REMOVED = "ask", "told", "placed", "out"
 
 
 def choose_coordinator(endpoint: EndpointId, nodes: Mapping[NodeId, str]) -> NodeId:
-    """Return the node that keeps count of an engine's prompts.
+    """Return the coordinator of an endpoint.
 
     Notes
     -----
-    Rendezvous hashing: all nodes that see the same nodes find the same one without
-    asking, and a node that is lost moves only its own engines.
+    Rendezvous hashing: nodes with the same list of nodes choose the same coordinator
+    without messages, and the loss of a node moves only the endpoints that it
+    coordinates.
     """
     return max(nodes, key=lambda n: (zlib.crc32(f"{n}|{endpoint}".encode()), n))
 
 
-class Carrier(Protocol):
-    """Carries messages to peers, which may lose, delay and reorder them."""
+class BacklogSender(Protocol):
+    """Sends messages to peers; messages can be lost, delayed or reordered."""
 
     def send_backlog(self, host: str, message: list[Any]) -> None:
-        """Send a message to a peer's survey."""
+        """Send a message to the backlog client of a peer."""
 
 
 @dataclass(slots=True)
-class _Question:
-    """A question under way: hosts that have not answered, and what came so far."""
+class _PendingRequest:
+    """Request in flight: hosts that have not replied, and the views received."""
 
-    open_hosts: set[str]
+    unanswered_hosts: set[str]
     done: asyncio.Future[None]
     views: dict[EndpointId, BacklogView]
 
 
 @dataclass(slots=True)
 class BacklogClient:
-    """Tells and asks which prompts are in line at engines.
+    """Reports this node's prompts to coordinators and requests backlogs from them.
 
     Attributes
     ----------
     own_host : str
-        This node's host.
+        Host of this node.
     nodes : callable
-        Returns the hosts of all live nodes by id, this one's included.
+        Returns the hosts of all live nodes by id, including this node.
     table : BacklogTable
-        The engines that this node keeps count of.
+        Backlogs of the engines that this node coordinates.
 
     Notes
     -----
-    An engine reads one prompt after the other, and a long one holds up all others for
-    up to a second. News between nodes come each half second, so all of them would
-    send to an engine that is busy with a prompt of another node's. One node an engine
-    knows all of its prompts at once. A request costs a question to each of a few of
-    those nodes and two messages to one, however many nodes there are.
+    An engine prefills one prompt after the other, and a long prompt delays all others
+    by up to a second. Gossip is sent every half second, so nodes that rely on it would
+    send prompts to an engine that is busy with another node's prompt. The coordinator
+    of an engine learns of all its prompts immediately. A request causes one message to
+    each of a few coordinators and two messages to one of them, independent of the
+    number of nodes.
     """
 
     own_host: str
     nodes: Callable[[], Mapping[NodeId, str]]
-    carrier: Carrier
+    carrier: BacklogSender
     monotonic: Callable[[], float]
     table: BacklogTable = field(default_factory=BacklogTable)
-    _number: int = 0
-    _questions: dict[int, _Question] = field(default_factory=dict)
+    _last_number: int = 0
+    _pending: dict[int, _PendingRequest] = field(default_factory=dict)
     _coordinators: dict[EndpointId, str] = field(default_factory=dict)
-    _silent_until: dict[str, float] = field(default_factory=dict)
+    _skip_until: dict[str, float] = field(default_factory=dict)
 
     def refresh(self, known: Sequence[EndpointId]) -> None:
-        """Take changes of nodes and endpoints into account."""
+        """Update the state after changes of nodes or endpoints."""
         self._coordinators.clear()
         self.table.forget(known, self.monotonic())
 
     def _coordinator(self, endpoint: EndpointId) -> str:
-        """Return the host of the node that keeps count of an engine's prompts."""
+        """Return the host of an endpoint's coordinator."""
         host = self._coordinators.get(endpoint)
         if host is None:
             nodes = self.nodes()
@@ -107,17 +109,17 @@
             self._coordinators[endpoint] = host
         return host
 
-    # asking
+    # Requests to coordinators
 
     async def ask(
         self, endpoints: Sequence[EndpointId], parts: Sequence[str]
     ) -> dict[EndpointId, BacklogView]:
-        """Return what is in line at engines, as far as their keepers answer.
+        """Return the backlogs of engines whose coordinators reply in time.
 
         Parameters
         ----------
         endpoints : sequence of EndpointId
-            Engines that a prompt might go to.
+            Engines that are candidates for a prompt.
         parts : sequence of str
             Ids of the prompt's shared parts, in order.
         """
@@ -126,36 +128,36 @@
         for endpoint in endpoints:
             by_host[self._coordinator(endpoint)].append(endpoint)
         views = self._views(self.own_host, by_host.pop(self.own_host, ()), parts)
-        asked = {h for h in by_host if self._silent_until.get(h, now) <= now}
-        if asked:
-            await self._ask_hosts({h: by_host[h] for h in asked}, parts, views)
+        requested = {h for h in by_host if self._skip_until.get(h, now) <= now}
+        if requested:
+            await self._request_views({h: by_host[h] for h in requested}, parts, views)
         return views
 
-    async def _ask_hosts(
+    async def _request_views(
         self,
         by_host: Mapping[str, Sequence[EndpointId]],
         parts: Sequence[str],
         views: dict[EndpointId, BacklogView],
     ) -> None:
-        """Ask keepers, and add what they answer in time."""
-        self._number += 1
-        number = self._number
+        """Request backlogs from coordinators, and add replies that arrive in time."""
+        self._last_number += 1
+        number = self._last_number
         done = asyncio.get_running_loop().create_future()
-        question = _Question(set(by_host), done, views)
-        self._questions[number] = question
+        pending = _PendingRequest(set(by_host), done, views)
+        self._pending[number] = pending
         for host, endpoints in by_host.items():
-            message = [QUESTION, number, list(endpoints), list(parts)]
+            message = [REQUEST, number, list(endpoints), list(parts)]
             self.carrier.send_backlog(host, message)
         try:
-            async with asyncio.timeout(ANSWER_WAIT_S):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 await done
         except TimeoutError:
-            silent_until = self.monotonic() + SILENT_S
-            for host in question.open_hosts:
-                self._silent_until[host] = silent_until
-            _LOG.debug("no answer", extra={"hosts": sorted(question.open_hosts)})
+            skip_until = self.monotonic() + SILENT_S
+            for host in pending.unanswered_hosts:
+                self._skip_until[host] = skip_until
+            _LOG.debug("no answer", extra={"hosts": sorted(pending.unanswered_hosts)})
         finally:
-            del self._questions[number]
+            del self._pending[number]
 
     def _views(
         self, host: str, endpoints: Sequence[EndpointId], parts: Sequence[str]
@@ -163,44 +165,46 @@
         now = self.monotonic()
         return {e: self.table.view(host, e, parts, now) for e in endpoints}
 
-    # telling
+    # Reports of this node's prompts
 
     def add_prompt(self, placed: Placement) -> None:
-        """Tell that this node has sent a prompt to an engine."""
+        """Report that this node has sent a prompt to an engine."""
         host = self._coordinator(placed.endpoint)
         if host == self.own_host:
             self.table.add_prompt(host, placed, self.monotonic())
         else:
-            self.carrier.send_backlog(host, [PLACED, *placed.encode()])
+            self.carrier.send_backlog(host, [ADDED, *placed.encode()])
 
     def remove_prompt(
         self, endpoint: EndpointId, request: RequestId, end: PromptEnd
     ) -> None:
-        """Tell that a prompt of this node has begun, or will not."""
+        """Report that a prompt has started at an engine, or will not start there."""
         host = self._coordinator(endpoint)
         if host == self.own_host:
             self.table.remove_prompt(endpoint, request, end, self.monotonic())
         else:
-            message = [TAKEN_OUT, endpoint, request, end.value]
+            message = [REMOVED, endpoint, request, end.value]
             self.carrier.send_backlog(host, message)
 
-    # hearing
+    # Messages from peers
 
     def receive(self, host: str, message: list[Any]) -> None:
-        """Take a peer's message; raises `ValueError` or the like if it is none."""
+        """Handle a peer's message; raise `ValueError` or similar if it is malformed."""
         kind, *rest = message
-        if kind == QUESTION:
+        if kind == REQUEST:
             number, endpoints, parts = rest
             known = [EndpointId(str(endpoint)) for endpoint in endpoints]
             views = self._views(host, known, [str(part) for part in parts])
-            told = [view.encode() for view in views.values()]
-            self.carrier.send_backlog(host, [ANSWER, number, told])
-        elif kind == ANSWER:
-            number, told = rest
-            self._take_answer(host, int(number), [BacklogView.decode(v) for v in told])
-        elif kind == PLACED:
+            encoded = [view.encode() for view in views.values()]
+            self.carrier.send_backlog(host, [REPLY, number, encoded])
+        elif kind == REPLY:
+            number, encoded = rest
+            self._receive_reply(
+                host, int(number), [BacklogView.decode(v) for v in encoded]
+            )
+        elif kind == ADDED:
             self.table.add_prompt(host, Placement.decode(rest), self.monotonic())
-        elif kind == TAKEN_OUT:
+        elif kind == REMOVED:
             endpoint, request, end = rest
             self.table.remove_prompt(
                 EndpointId(str(endpoint)),
@@ -209,14 +213,14 @@
                 self.monotonic(),
             )
         else:
-            raise ValueError(f"no kind of message: {kind!r}")
+            raise ValueError(f"unknown message kind: {kind!r}")
 
-    def _take_answer(self, host: str, number: int, views: list[BacklogView]) -> None:
-        question = self._questions.get(number)
-        if question is None or host not in question.open_hosts:
-            # It came too late, or twice.
+    def _receive_reply(self, host: str, number: int, views: list[BacklogView]) -> None:
+        pending = self._pending.get(number)
+        if pending is None or host not in pending.unanswered_hosts:
+            # The reply is late or a duplicate.
             return
-        question.open_hosts.discard(host)
-        question.views.update((view.endpoint, view) for view in views)
-        if not question.open_hosts and not question.done.done():
-            question.done.set_result(None)
+        pending.unanswered_hosts.discard(host)
+        pending.views.update((view.endpoint, view) for view in views)
+        if not pending.unanswered_hosts and not pending.done.done():
+            pending.done.set_result(None)
--- a/poplarrelay/entry/permits.py
+++ b/poplarrelay/entry/permits.py
@@ -25,24 +25,25 @@
 
 #: Seconds for which a permit is valid.
 PERMIT_VALID_S = 0.5
-#: Minimum rate in requests per second. Only the answer to a request shows that a limit
-#: has been raised or cleared.
+#: Minimum rate in requests per second. Only an answer of the endpoint shows that its
+#: limit has been raised or cleared.
 PROBE_PER_S = 0.2
 #: Maximum idle time in seconds for which an issuer may catch up.
 CATCH_UP_S = 0.5
-#: Seconds to wait for an answer before asking again.
-ANSWER_TIMEOUT_S = 0.1
-#: Consecutive unanswered questions after which a node issues its own share.
+#: Seconds to wait for the issuer's reply before a permit is requested again.
+REPLY_TIMEOUT_S = 0.1
+#: Consecutive unanswered permit requests after which a node issues permits for its own
+#: share of the limit.
 MAX_UNANSWERED = 3
 #: Minimum seconds between broadcasts of one endpoint's limit.
 BROADCAST_INTERVAL_S = 0.5
 
 #: Message kinds, sent as the first element of each message.
-LIMIT, QUESTION, ANSWER = "limit", "ask", "permit"
+LIMIT, REQUEST, REPLY = "limit", "ask", "permit"
 
 
 class PermitSender(Protocol):
-    """Sends messages to peers; they may be lost, delayed or reordered."""
+    """Sends messages to peers; messages can be lost, delayed or reordered."""
 
     def send_permits(self, hosts: Sequence[str], messages: list[list[Any]]) -> None:
         """Send messages to the given peers."""
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Answer to a request for a permit.
+    """Reply to a request for a permit.
 
     Attributes
     ----------
@@ -62,7 +63,7 @@
 
     @property
     def granted(self) -> bool:
-        """Return whether a request may be sent."""
+        """Return whether a request can be sent now."""
         return self.wait_s <= 0
 
 
@@ -87,7 +88,7 @@
         Parameters
         ----------
         endpoint, run : EndpointId, StartTime or None
-            Endpoint and the run that the permit is for.
+            Endpoint, and its run, for which the permit is issued.
         per_s : float
             Limit in requests per second.
         share : float
@@ -96,8 +97,9 @@
             Current monotonic time.
         """
         interval_s = 1 / (max(per_s, PROBE_PER_S) * share)
-        # Without an entry, the previous issuer may have issued a permit just before the
-        # takeover. A time more than one interval ahead was computed at a lower rate.
+        # Without an entry, wait for one interval: a previous issuer may have issued a
+        # permit just before this node took over. A time that is more than one interval
+        # ahead was computed at a lower rate.
         next_at = min(self._next_at.get((endpoint, run), inf), now + interval_s)
         if next_at > now:
             self._next_at[endpoint, run] = next_at
@@ -106,10 +108,10 @@
         self._next_at[endpoint, run] = max(next_at, earliest) + interval_s
         return Permit(0.0)
 
-    def forget(self, known: Mapping[EndpointId, Endpoint]) -> None:
-        """Drop runs of endpoints that are no longer known."""
+    def forget(self, rows: Mapping[EndpointId, Endpoint]) -> None:
+        """Drop the state of runs that are not in the given rows."""
         for endpoint, run in list(self._next_at):
-            if endpoint not in known or known[endpoint].started_ms != run:
+            if endpoint not in rows or rows[endpoint].started_ms != run:
                 del self._next_at[endpoint, run]
 
 
@@ -122,12 +124,12 @@
     own_host : str
         Host of this node.
     rows : mapping of EndpointId to Endpoint
-        Known endpoints.
+        Rows of the endpoint table.
     nodes : callable
         Returns the hosts of all live nodes by id, including this node.
     shares : callable
-        Returns the fraction of all nodes that this node hears, including itself, and
-        the fraction that a single node represents.
+        Returns the fraction of all nodes that this node can reach, including itself,
+        and the fraction that a single node represents.
     sender : PermitSender
         Sends messages to peers.
     monotonic : callable
@@ -153,16 +155,16 @@
     _broadcast_at: dict[EndpointId, float] = field(default_factory=dict)
 
     def refresh(self) -> None:
-        """Drop the state of endpoints that are no longer known."""
+        """Drop the state of endpoints that are no longer in the table."""
         self.issuer.forget(self.rows)
-        for known in (self._unanswered, self._broadcast_at):
-            for endpoint in [each for each in known if each not in self.rows]:
-                del known[endpoint]
+        for by_endpoint in (self._unanswered, self._broadcast_at):
+            for endpoint in [each for each in by_endpoint if each not in self.rows]:
+                del by_endpoint[endpoint]
 
     def note_stated_limit(
         self, row: Endpoint, stated: StatedLimit, sent_at: float
     ) -> None:
-        """Apply the limit stated in an answer, and broadcast changes to the peers."""
+        """Apply a limit stated in an answer, and broadcast a change to the peers."""
         now = self.monotonic()
         if not apply_stated_limit(row, stated, sent_at, now):
             return
@@ -188,25 +190,25 @@
                 continue
             row.drop_expired_permits(now)
             if not row.permits and now >= row.next_ask_at:
-                self._ask(row, row.limit_per_s, now)
+                self._request_permit(row, row.limit_per_s, now)
 
-    def _ask(self, row: Endpoint, per_s: float, now: float) -> None:
+    def _request_permit(self, row: Endpoint, per_s: float, now: float) -> None:
         nodes = self.nodes()
         host = nodes[choose_coordinator(row.endpoint, nodes)]
-        asked, unanswered = self._unanswered.get(row.endpoint, (host, 0))
-        if asked != host:
+        previous_host, unanswered = self._unanswered.get(row.endpoint, (host, 0))
+        if previous_host != host:
             unanswered = 0
-        heard, own = self.shares()
+        reachable, own = self.shares()
         if host == self.own_host or unanswered >= MAX_UNANSWERED:
-            share = heard if host == self.own_host else own
+            share = reachable if host == self.own_host else own
             permit = self.issuer.issue(row.endpoint, row.started_ms, per_s, share, now)
             self._apply_permit(row, permit, now)
-            # The next call retries the issuer once before using the own share again.
+            # The next call tries the coordinator once before it uses the own share.
             self._unanswered[row.endpoint] = host, MAX_UNANSWERED - 1
             return
         self._unanswered[row.endpoint] = host, unanswered + 1
-        row.next_ask_at = now + ANSWER_TIMEOUT_S
-        message = [QUESTION, row.endpoint, row.started_ms, per_s]
+        row.next_ask_at = now + REPLY_TIMEOUT_S
+        message = [REQUEST, row.endpoint, row.started_ms, per_s]
         self.sender.send_permits([host], [message])
 
     def _apply_permit(self, row: Endpoint, permit: Permit, now: float) -> None:
@@ -225,10 +227,10 @@
         for kind, *rest in messages:
             if kind == LIMIT:
                 self._receive_limit(host, *rest)
-            elif kind == QUESTION:
-                self._receive_question(host, *rest)
-            elif kind == ANSWER:
-                self._receive_answer(*rest)
+            elif kind == REQUEST:
+                self._receive_request(host, *rest)
+            elif kind == REPLY:
+                self._receive_reply(*rest)
             else:
                 raise ValueError(f"unknown message kind: {kind!r}")
 
@@ -239,38 +241,38 @@
     def _receive_limit(
         self, host: str, endpoint: str, run: int | None, per_s: Any, age_s: float
     ) -> None:
-        as_of = self.monotonic() - max(0.0, float(age_s))
+        set_at = self.monotonic() - max(0.0, float(age_s))
         limit = None if per_s is None else max(0.0, float(per_s))
         row = self._find_row(endpoint, run)
-        if row is not None and as_of > row.limit_as_of:
-            set_limit(row, limit, as_of, f"peer {host}")
+        if row is not None and set_at > row.limit_as_of:
+            set_limit(row, limit, set_at, f"peer {host}")
 
-    def _receive_question(
+    def _receive_request(
         self, host: str, endpoint: str, run: int | None, per_s: float
     ) -> None:
         now = self.monotonic()
         row = self._find_row(endpoint, run)
-        known = None if row is None else row.limit_per_s
-        heard, _ = self.shares()
+        known_limit = None if row is None else row.limit_per_s
+        reachable, _ = self.shares()
         permit = self.issuer.issue(
             EndpointId(str(endpoint)),
             None if run is None else StartTime(int(run)),
-            float(per_s) if known is None else known,
-            heard,
+            float(per_s) if known_limit is None else known_limit,
+            reachable,
             now,
         )
-        # A wait that rounds to zero would be read as a granted permit.
+        # A wait rounded to zero would mean that the permit is granted.
         wait_s = 0.0 if permit.granted else max(0.001, round(permit.wait_s, 3))
-        answer = [ANSWER, endpoint, run, wait_s]
-        self.sender.send_permits([host], [answer])
+        reply = [REPLY, endpoint, run, wait_s]
+        self.sender.send_permits([host], [reply])
 
-    def _receive_answer(self, endpoint: str, run: int | None, wait_s: float) -> None:
+    def _receive_reply(self, endpoint: str, run: int | None, wait_s: float) -> None:
         row = self._find_row(endpoint, run)
         permit = Permit(max(0.0, float(wait_s)))
         if row is None:
             return
         if not self._unanswered.pop(row.endpoint, None) and not permit.granted:
-            # A denial with no open question is a duplicate or late.
+            # A denial without a pending request is late or a duplicate.
             return
         self._apply_permit(row, permit, self.monotonic())
         if permit.granted:
--- a/poplarrelay/entry/quotas.py
+++ b/poplarrelay/entry/quotas.py
@@ -1,4 +1,4 @@
-"""Teams' quotas over all nodes, without asking anyone for each request."""
+"""Quotas of teams over all nodes, without a message to other nodes per request."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 from poplarrelay.entry.configuration import Quota
 from poplarrelay.entry.requests import CallerRequest
 
-__all__ = ["Bucket", "OverQuota", "RemoteUse", "raise_refill", "request_cost"]
+__all__ = ["Bucket", "OverQuota", "RemoteUsage", "raise_refill", "request_cost"]
 
-#: Seconds of its part of the refill that a restarted node finds in its bucket. Its
-#: predecessor may have spent the burst a moment ago.
+#: Seconds of the node's share of the refill that the bucket of a restarted node holds.
+#: The previous process may have used the burst just before.
 RESTART_REFILL_S = 1.0
-#: Seconds after its last report for which a node's part of the refill is still given
-#: to the others: one and a half rounds of news.
+#: Seconds after a node's last report for which its share of the refill is still added
+#: to the bucket: one and a half gossip rounds.
 REPORT_LAG_S = 0.6
-#: Seconds without a report after which a node's part of the burst is its own, too.
-#: In calm times every node is heard within three rounds.
-CUT_OFF_S = 1.3
-#: The same for the sums of another cell, which come by way of its speaker.
-CELL_CUT_OFF_S = 2.4
-#: Part of the burst below which use is told to the others at once.
+#: Seconds without a report after which a node counts as unreachable, and its share of
+#: the burst is no longer available here. Without faults every node's report arrives
+#: within three gossip rounds.
+UNREACHABLE_S = 1.3
+#: The same for the sums of another cell, which its representative sends.
+CELL_UNREACHABLE_S = 2.4
+#: Fraction of the burst below which usage is reported to other nodes immediately.
 TIGHT_SHARE = 0.5
-#: Weight of one report in a node's pace.
-PACE_WEIGHT = 0.5
+#: Weight of one report in the moving average of a usage rate.
+RATE_WEIGHT = 0.5
 
 
 def request_cost(quota: Quota, request: CallerRequest) -> float:
-    """Return what a request takes from its team's quota."""
+    """Return the cost of a request in units of its team's quota."""
     if not quota.in_tokens:
         return 1.0
     if request.prompt_tokens is None or request.max_output_tokens is None:
@@ -37,7 +38,7 @@
 
 
 def raise_refill(quota: Quota, share: float) -> Quota:
-    """Return a quota whose refill is faster by a share.
+    """Return a quota whose refill rate is raised by a fraction.
 
     Examples
     --------
@@ -49,82 +50,83 @@
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """The quota is used up; the request fits in after some time."""
+    """Result if the quota is used up, with the seconds until the request fits."""
 
     retry_after_s: float
 
 
 @dataclass(slots=True)
-class RemoteUse:
-    """What another node, or all nodes of another cell, have used.
+class RemoteUsage:
+    """Usage of another node, or of all nodes of another cell.
 
     Attributes
     ----------
     total : float
-        Sum since that node's process started.
+        Usage since that node's process started.
     last_seen_at : float
         Monotonic time of the last report.
     refilled_to : float
-        Time up to which that node's part of the refill is in this bucket.
-    pace : float
-        Moving use a second.
-    weight : int
-        Nodes that it stands for.
+        Monotonic time up to which that node's share of the refill is in this bucket.
+    usage_rate : float
+        Moving average of the usage per second.
+    node_count : int
+        Number of nodes whose usage this is.
     run : str
-        Under which the total only grows; empty for a single process.
-    cut_off_s : float
-        Seconds without a report after which it counts as cut off.
+        Id of the run within which the total only grows; empty for a single process.
+    unreachable_s : float
+        Seconds without a report after which the remote counts as unreachable.
     """
 
     total: float
     last_seen_at: float
     refilled_to: float
-    pace: float = 0.0
-    weight: int = 1
+    usage_rate: float = 0.0
+    node_count: int = 1
     run: str = ""
-    cut_off_s: float = CUT_OFF_S
+    unreachable_s: float = UNREACHABLE_S
 
-    def cut_off(self, now: float) -> bool:
-        """Return whether it has not been heard for too long."""
-        return now - self.last_seen_at > self.cut_off_s
+    def is_unreachable(self, now: float) -> bool:
+        """Return whether the last report is too old."""
+        return now - self.last_seen_at > self.unreachable_s
 
 
 @dataclass(slots=True)
 class Bucket:
-    """A team's bucket as one node sees it.
+    """Token bucket of a team, as one node sees it.
 
     Attributes
     ----------
     level : float
-        What is left; below zero after other nodes' use was heard late.
+        Amount left; negative after late reports of other nodes' usage.
     refilled_to : float
-        Monotonic time up to which this node's own part of the refill is in it.
+        Monotonic time up to which this node's share of the refill is in the bucket.
     spent : float
-        What this node has taken since it started, told to the others.
+        Amount that this node has taken since it started; it is reported to the others.
     told : float
-        What of it they have been told.
-    remotes : dict of str to RemoteUse
-        The other nodes' use, by node and incarnation.
+        Amount that has been reported to the others.
+    remotes : dict of str to RemoteUsage
+        Usage of other nodes, by node and incarnation, and of other cells, by cell.
 
     Notes
     -----
-    Each node subtracts its own use at once and the others' as it is heard. What
-    others use between two reports is guessed from their pace, so a flood that
-    arrives at all nodes overruns by about one report interval of its growth, not
-    of its size; when the bucket is tight, use is reported at once.
-
-    The refill is divided into equal parts, one a node, and a node's part is given
-    only up to its last report. Nodes that are cut off from each other cannot report;
-    callers keep the addresses of such nodes, which moreover name only themselves to
-    new callers. With whole refills a cut of three nodes let through up to four
-    quotas; in parts, all groups together stay within one.
+    Each node subtracts its own usage immediately and other nodes' usage when their
+    reports arrive. The usage of others between two reports is estimated from their
+    usage rates. A flood that arrives at all nodes therefore exceeds the quota by about
+    its growth in one report interval, not by its size. When the level is low, usage is
+    reported immediately.
+
+    The refill is divided into equal shares, one per node, and a node's share is added
+    only up to its last report. Partitioned nodes cannot report to each other, but
+    callers keep the addresses of such nodes, and each of these nodes gives new callers
+    only its own address. With undivided refills, a partition of three nodes admitted up
+    to four quotas; with shares, all groups together stay within one quota.
     """
 
     level: float
     refilled_to: float
     spent: float = 0.0
     told: float = 0.0
-    remotes: dict[str, RemoteUse] = field(default_factory=dict)
+    remotes: dict[str, RemoteUsage] = field(default_factory=dict)
 
     @classmethod
     def starting(
@@ -137,7 +139,7 @@
         return cls(level, now)
 
     def refill(self, quota: Quota, now: float, nodes: int) -> None:
-        """Add the parts of the refill that are due; a lower burst counts at once.
+        """Add the shares of the refill that are due, and limit the level to the burst.
 
         Parameters
         ----------
@@ -146,38 +148,40 @@
         now : float
             Monotonic time.
         nodes : int
-            How many nodes there are, cut off ones included.
+            Number of nodes, including unreachable ones.
         """
         nodes = max(nodes, self._known_nodes)
         due_s = max(0.0, now - self.refilled_to)
         self.refilled_to = max(self.refilled_to, now)
         for remote in self.remotes.values():
             until = min(now, remote.last_seen_at + REPORT_LAG_S)
-            due_s += remote.weight * max(0.0, until - remote.refilled_to)
+            due_s += remote.node_count * max(0.0, until - remote.refilled_to)
             remote.refilled_to = max(remote.refilled_to, until)
         self.level += due_s * quota.per_s / nodes
         self.level = min(self.level, quota.burst * self.reachable_fraction(now, nodes))
 
     def reachable_fraction(self, now: float, nodes: int) -> float:
-        """Return the part of all nodes that this node hears, itself included."""
-        heard = sum(r.weight for r in self.remotes.values() if not r.cut_off(now))
-        return (1 + heard) / max(nodes, self._known_nodes)
+        """Return the fraction of all nodes that are reachable, including this node."""
+        reachable = sum(
+            r.node_count for r in self.remotes.values() if not r.is_unreachable(now)
+        )
+        return (1 + reachable) / max(nodes, self._known_nodes)
 
     @property
     def _known_nodes(self) -> int:
-        """Return how many nodes the reports stand for, this one included."""
-        return 1 + sum(remote.weight for remote in self.remotes.values())
+        """Return the number of nodes that have reported, including this node."""
+        return 1 + sum(remote.node_count for remote in self.remotes.values())
 
-    def guessed(self, now: float) -> float:
-        """Return what the others have probably used since their last reports."""
-        guess = 0.0
+    def estimated_usage(self, now: float) -> float:
+        """Return the estimated usage of the others since their last reports."""
+        estimate = 0.0
         for remote in self.remotes.values():
-            if not remote.cut_off(now):
-                guess += remote.pace * max(0.0, now - remote.last_seen_at)
-        return guess
+            if not remote.is_unreachable(now):
+                estimate += remote.usage_rate * max(0.0, now - remote.last_seen_at)
+        return estimate
 
     def tight(self, quota: Quota) -> bool:
-        """Return whether so little is left that others must know of use at once."""
+        """Return whether the level is so low that usage is reported immediately."""
         return self.level < TIGHT_SHARE * quota.burst
 
     def take(
@@ -188,34 +192,34 @@
         nodes: int,
         tolerance: float = 0.0,
     ) -> OverQuota | None:
-        """Take a request's cost, or tell when it would fit.
+        """Take a request's cost, or return the time until the request fits.
 
         Parameters
         ----------
         quota : Quota
             The quota in force.
         cost : float
-            What the request takes.
+            Cost of the request.
         now : float
             Monotonic time.
         nodes : int
-            How many nodes there are, cut off ones included.
+            Number of nodes, including unreachable ones.
         tolerance : float
-            What all nodes together may take beyond the quota. It covers what this
-            node guesses too high of the others' use: a request within the quota
-            must not be refused for a guess.
+            Amount that all nodes together may take beyond the quota. It covers
+            estimates of other nodes' usage that are too high: a request within the
+            quota must not be refused because of an estimate.
 
         Notes
         -----
-        A request larger than the whole burst is let in with a full bucket, and
-        leaves a debt; otherwise it could never run.
+        A request that costs more than the burst is admitted if the bucket is full, and
+        the level becomes negative. Otherwise the request could never run.
         """
         self.refill(quota, now, nodes)
         share = self.reachable_fraction(now, nodes)
-        left = self.level - self.guessed(now) + share * tolerance
+        available = self.level - self.estimated_usage(now) + share * tolerance
         needed = min(cost, quota.burst * share)
-        if left < needed:
-            return OverQuota((needed - left) / (share * quota.per_s))
+        if available < needed:
+            return OverQuota((needed - available) / (share * quota.per_s))
         self.level -= cost
         self.spent += cost
         return None
@@ -226,71 +230,74 @@
         self.spent -= cost
 
     def receive(self, reporter: str, total: float, baseline: float, now: float) -> None:
-        """Take another node's report of what it has used.
+        """Record another node's report of its usage.
 
         Parameters
         ----------
         reporter : str
-            The node and its incarnation.
+            Id of the node and its incarnation.
         total : float
-            What it has used since it started.
+            Usage of that node since it started.
         baseline : float
-            What of it had been used before this node started.
+            Part of the total that was used before this node started.
         now : float
             Monotonic time.
         """
         remote = self.remotes.get(reporter)
         if remote is None:
-            remote = RemoteUse(baseline, now, now)
+            remote = RemoteUsage(baseline, now, now)
             self.remotes[reporter] = remote
         self._charge(remote, total, now)
 
     def record_cell_usage(
-        self, cell: str, run: str, total: float, weight: int, now: float
+        self, cell: str, run: str, total: float, node_count: int, now: float
     ) -> None:
-        """Take what all nodes of another cell have used.
+        """Record the usage of all nodes of another cell.
 
         Parameters
         ----------
         cell : str
-            The cell.
+            Id of the cell.
         run : str
-            Under which the total only grows but for refunds.
+            Id of the run within which the total only grows, except for refunds.
         total : float
-            What they have used, as far as their speaker counts.
-        weight : int
-            How many nodes of the cell are alive.
+            Usage that the cell's representative has counted.
+        node_count : int
+            Number of live nodes in the cell.
         now : float
             Monotonic time.
 
         Notes
         -----
-        The next speaker counts from another beginning, and a row that is forgotten
-        leaves the sum. The difference of two such totals means nothing; what was
-        used between them is taken from the pace before. Without this one speaker's
-        end gave all nodes back what its cell had used since its start.
+        The next representative starts to count at another time, and rows that are
+        dropped leave the sum. The difference between totals of two runs is therefore
+        meaningless, and the usage between them is estimated from the previous usage
+        rate. Without this estimate, the end of a representative refunded all usage of
+        its cell since its start at every node.
         """
         remote = self.remotes.get(cell)
         if remote is None:
-            remote = RemoteUse(total, now, now, cut_off_s=CELL_CUT_OFF_S)
+            remote = RemoteUsage(total, now, now, unreachable_s=CELL_UNREACHABLE_S)
             self.remotes[cell] = remote
         elif remote.run != run:
-            silence_s = min(now - remote.last_seen_at, remote.cut_off_s)
-            remote.total = total - remote.pace * silence_s
+            silence_s = min(now - remote.last_seen_at, remote.unreachable_s)
+            remote.total = total - remote.usage_rate * silence_s
         remote.run = run
-        remote.weight = weight
+        remote.node_count = node_count
         self._charge(remote, total, now)
 
-    def _charge(self, remote: RemoteUse, total: float, now: float) -> None:
-        """Subtract what a remote has used since its last report."""
+    def _charge(self, remote: RemoteUsage, total: float, now: float) -> None:
+        """Subtract a remote's usage since its last report."""
         used = total - remote.total
         elapsed = max(0.05, now - remote.last_seen_at)
         remote.total = total
         self.level -= used
-        remote.pace += PACE_WEIGHT * (max(0.0, used) / elapsed - remote.pace)
+        remote.usage_rate += RATE_WEIGHT * (
+            max(0.0, used) / elapsed - remote.usage_rate
+        )
         remote.last_seen_at = now
 
     def forget(self, known: Collection[str]) -> None:
-        """Drop the reports of processes that are not known any more."""
+        """Drop the usage of nodes and cells that are no longer known."""
         for reporter in [name for name in self.remotes if name not in known]:
             del self.remotes[reporter]
--- a/poplarrelay/entry/rate_limits.py
+++ b/poplarrelay/entry/rate_limits.py
@@ -20,9 +20,10 @@
     Attributes
     ----------
     per_s : float or None
-        Requests per second accepted from all nodes together, None if not stated.
+        Requests per second that the endpoint accepts from all nodes together, None if
+        the answer states no limit.
     readable : bool
-        False if the limit is present but has no valid value.
+        False if the answer states a limit without a valid value.
     """
 
     per_s: float | None = None
@@ -49,13 +50,14 @@
         _LOG.warning("endpoint limit unreadable", extra={"endpoint": row.endpoint})
         return False
     if stated.per_s is None and (row.limit_per_s is None or sent_at < row.limit_as_of):
-        # An answer to a request sent before the limit was stated does not clear it.
+        # The request was sent before the limit was stated, so the answer does not
+        # show that the limit was cleared.
         return False
     return set_limit(row, stated.per_s, now, "answer")
 
 
 def set_limit(row: Endpoint, per_s: float | None, as_of: float, source: str) -> bool:
-    """Set or clear the limit, log a change, and return whether it changed."""
+    """Set or clear an endpoint's limit, log a change, and return whether it changed."""
     before = row.limit_per_s
     row.limit_per_s, row.limit_as_of = per_s, as_of
     if before == per_s:
--- a/poplarrelay/entry/request_queue.py
+++ b/poplarrelay/entry/request_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait in a node for an endpoint with room."""
+"""Queue of the requests that wait at a node for a free slot at an endpoint."""
 
 from __future__ import annotations
 
@@ -13,66 +13,66 @@
 __all__ = [
     "PermitDenied",
     "RequestQueue",
-    "Waiter",
+    "QueuedRequest",
     "bound_retry_after",
     "max_queue_wait",
     "retry_after",
 ]
 
-#: Part of the route's target for which a request may wait for a place. Beyond it the
-#: answer would be late anyway; told early, the caller can come back in time.
+#: Maximum wait for a slot as a fraction of the route's latency target. After a longer
+#: wait the answer would be late anyway; an early refusal lets the caller retry in time.
 WAIT_SHARE = 0.7
-#: Part of the caller's patience that it gives up to wait before coming back; callers
-#: shorten longer waits to this.
-PATIENCE_SHARE = 1 / 3
-#: Shortest time to come back after, in seconds, so that a full service is not asked
-#: again before one of its requests has ended.
-LEAST_RETRY_S = 0.05
+#: Maximum retry delay as a fraction of the caller's remaining time. Callers shorten
+#: longer delays to this fraction.
+RETRY_WAIT_SHARE = 1 / 3
+#: Minimum retry delay in seconds, so that a caller does not retry at a full service
+#: before any of the service's requests has ended.
+MIN_RETRY_S = 0.05
 
 
 def max_queue_wait(route: Route, remaining_s: float) -> float:
-    """Return how long a request may wait for a place before it is refused.
+    """Return the maximum time that a request waits for a slot, in seconds.
 
     Parameters
     ----------
     route : Route
-        Its route.
+        Route of the request.
     remaining_s : float
-        Time until nobody waits for the answer any more.
+        Seconds until the request's deadline.
     """
     return max(0.0, min(WAIT_SHARE * route.target_s, 0.5 * remaining_s))
 
 
 def bound_retry_after(wait_s: float, remaining_s: float) -> float:
-    """Return a time to come back after that a caller keeps to, in seconds."""
-    return max(LEAST_RETRY_S, min(wait_s, PATIENCE_SHARE * remaining_s))
+    """Return the wait, limited to a retry delay that callers keep to, in seconds."""
+    return max(MIN_RETRY_S, min(wait_s, RETRY_WAIT_SHARE * remaining_s))
 
 
-def retry_after(waiting: int, rate: float, remaining_s: float) -> float:
-    """Return when a refused caller shall come back, in seconds.
+def retry_after(queued_ahead: int, rate: float, remaining_s: float) -> float:
+    """Return the delay after which a refused caller should retry, in seconds.
 
     Parameters
     ----------
-    waiting : int
-        Requests that wait before it.
+    queued_ahead : int
+        Number of requests in the queue.
     rate : float
-        Requests a second that the service has lately ended on this node.
+        Requests of the service that recently ended at this node, per second.
     remaining_s : float
-        What is left of the caller's patience.
+        Seconds until the caller's deadline.
 
     Notes
     -----
-    Callers come back in the order in which places come free: the one refused behind
-    ten others is told ten times the usual time between two ends. Nobody is sent away
-    for longer than it would stay away.
+    The delay grows with the queue, so callers retry in the order in which slots
+    become free: with ten requests ahead, the delay is about ten times the mean time
+    between two ends of requests. The delay is never longer than callers wait.
     """
-    until_free = (waiting + 1) / max(rate, 1.0)
-    return bound_retry_after(until_free, remaining_s)
+    until_free_s = (queued_ahead + 1) / max(rate, 1.0)
+    return bound_retry_after(until_free_s, remaining_s)
 
 
 @dataclass(frozen=True, slots=True)
 class PermitDenied:
-    """Result for a waiting request that no permit is expected to reach in time.
+    """Result for a queued request if no permit is expected in time.
 
     Attributes
     ----------
@@ -84,24 +84,26 @@
 
 
 @dataclass(order=True, slots=True)
-class Waiter:
-    """A request in the queue; the order is the order of service.
+class QueuedRequest:
+    """Request in the queue; instances sort in the order of service.
 
     Attributes
     ----------
     priority : int
-        Rank of the request; 0 goes first.
+        Priority of the request; 0 is served first.
     sequence : int
-        Order of arrival.
-    until : float
+        Number in the order of arrival.
+    expires_at : float
         Monotonic time at which the wait times out.
+    future : Future
+        Receives the result of the wait.
     """
 
     priority: int
     sequence: int
     criteria: SelectionCriteria = field(compare=False)
-    slot: Future[Choice | PermitDenied] = field(compare=False)
-    until: float = field(compare=False, default=float("inf"))
+    future: Future[Choice | PermitDenied] = field(compare=False)
+    expires_at: float = field(compare=False, default=float("inf"))
 
 
 @dataclass(slots=True)
@@ -110,12 +112,12 @@
 
     Notes
     -----
-    A full endpoint refuses at once, and each refusal counts against the budget of
-    repeated sends that all nodes share. Waiting in the node costs nothing, and lets
-    urgent requests pass patient ones.
+    A full endpoint refuses requests immediately, and each refusal uses up part of the
+    retry budget that all nodes share. Waiting at the node uses no budget, and urgent
+    requests can overtake others.
     """
 
-    queues: dict[ServiceName, list[Waiter]] = field(default_factory=dict)
+    queues: dict[ServiceName, list[QueuedRequest]] = field(default_factory=dict)
     arrivals: int = 0
 
     def join(
@@ -123,51 +125,52 @@
         service: ServiceName,
         priority: int,
         criteria: SelectionCriteria,
-        slot: Future[Choice | PermitDenied],
-        until: float = float("inf"),
-    ) -> Waiter:
+        future: Future[Choice | PermitDenied],
+        expires_at: float = float("inf"),
+    ) -> QueuedRequest:
         """Add a request to a service's queue."""
         self.arrivals += 1
-        waiter = Waiter(priority, self.arrivals, criteria, slot, until)
-        heapq.heappush(self.queues.setdefault(service, []), waiter)
-        return waiter
+        queued = QueuedRequest(priority, self.arrivals, criteria, future, expires_at)
+        heapq.heappush(self.queues.setdefault(service, []), queued)
+        return queued
 
     def length(self, service: ServiceName) -> int:
-        """Return how many requests wait for a service."""
+        """Return the number of requests that wait for a service."""
         queue = self.queues.get(service, ())
-        return sum(1 for waiter in queue if not waiter.slot.done())
+        return sum(1 for queued in queue if not queued.future.done())
 
-    def pending(self, service: ServiceName) -> list[Waiter]:
-        """Return the requests waiting for a service, in the order of service."""
+    def pending(self, service: ServiceName) -> list[QueuedRequest]:
+        """Return the requests that wait for a service, in the order of service."""
         queue = self.queues.get(service, ())
-        return sorted(waiter for waiter in queue if not waiter.slot.done())
+        return sorted(queued for queued in queue if not queued.future.done())
 
     def serve(
         self, service: ServiceName, choose: Callable[[SelectionCriteria], Choice | None]
     ) -> None:
-        """Give places to waiting requests, as long as there are any.
+        """Assign free slots to queued requests until no slot is left.
 
         Parameters
         ----------
         service : ServiceName
-            Whose queue.
+            Service whose queue is served.
         choose : callable
-            Takes a place for a request, or returns None if it has none.
+            Acquires a slot for a request, or returns None if no slot is free.
         """
         queue = self.queues.get(service)
-        passed: list[Waiter] = []
+        skipped: list[QueuedRequest] = []
         while queue:
-            waiter = heapq.heappop(queue)
-            if waiter.slot.done():
+            queued = heapq.heappop(queue)
+            if queued.future.done():
                 continue
-            choice = choose(waiter.criteria)
+            choice = choose(queued.criteria)
             if choice is None:
-                passed.append(waiter)
-                # One that has tried some endpoints may find no place where the
-                # next one does; looking past a few keeps it from blocking them.
-                if len(passed) >= 4:
+                skipped.append(queued)
+                # A request that has already tried some endpoints cannot use their
+                # slots, but the next request can. Skipping a few requests keeps
+                # such a request from blocking the queue.
+                if len(skipped) >= 4:
                     break
                 continue
-            waiter.slot.set_result(choice)
-        for waiter in passed:
-            heapq.heappush(queue or self.queues.setdefault(service, []), waiter)
+            queued.future.set_result(choice)
+        for queued in skipped:
+            heapq.heappush(queue or self.queues.setdefault(service, []), queued)
--- a/poplarrelay/entry/routing.py
+++ b/poplarrelay/entry/routing.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, for which team, to which service."""
+"""Matching of requests to routes, teams and services."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that the configuration allows.
+    """Result for a request that the configuration allows.
 
     Attributes
     ----------
     team : Team or None
-        The team that holds the caller's key, None without one.
+        Team that the caller's key belongs to, None if no team has this key.
     priority : int
-        Rank of the request; 0 goes first.
+        Priority of the request; 0 is served first.
     """
 
     route: Route
@@ -35,23 +35,23 @@
 
 @dataclass(frozen=True, slots=True)
 class NoRoute:
-    """No route of the host begins the path."""
+    """Result for a request whose host has no route with a prefix of the path."""
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """The route asks for a key, and the caller's is none that a team holds."""
+    """Result for a route that requires a key, without a key that a team has."""
 
     route: Route
 
 
 def match_route(configuration: Configuration, host: str, path: str) -> Route | None:
-    """Return the route with the longest prefix that begins the path.
+    """Return the route with the longest matching path prefix.
 
     Notes
     -----
-    Prefixes end with a slash, so ``/a/`` does not match ``/ab``. Costs one
-    comparison for each longer route of the same host.
+    Prefixes end with a slash, so ``/a/`` does not match ``/ab``. The search compares
+    the path with each longer prefix of the same host.
     """
     for route in configuration.routes_by_host.get(host, ()):
         if path.startswith(route.prefix):
@@ -62,7 +62,7 @@
 def admit(
     configuration: Configuration, request: CallerRequest
 ) -> Admitted | NoRoute | Denied:
-    """Decide whether the configuration allows a request, and for whom."""
+    """Return the team and priority of a request, or why it is not allowed."""
     route = match_route(configuration, request.host, request.path)
     if route is None:
         return NoRoute()
@@ -76,7 +76,7 @@
 
 
 def choose_service(route: Route, rng: Random) -> ServiceName:
-    """Draw the service that gets a request, by the shares of its route."""
+    """Choose a service at random, weighted by the shares of the route."""
     if len(route.shares) == 1:
         return route.shares[0].service
     services = [share.service for share in route.shares]
--- a/poplarrelay/entry/sizing.py
+++ b/poplarrelay/entry/sizing.py
@@ -1,4 +1,4 @@
-"""How many endpoints a service shall have, of which kind, in which domains."""
+"""Number of endpoints that a service needs, by kind and failure domain."""
 
 from __future__ import annotations
 
@@ -23,27 +23,29 @@
     "reclaimed_domains",
 ]
 
-#: Part of what an engine reads when it does nothing else that is asked of it on
-#: average: prompts come in clumps, and streams pause while others are read beside them.
+#: Fraction of an engine's maximum prefill speed that is used on average. Prompts arrive
+#: in bursts, and streams pause while the engine prefills other prompts.
 PREFILL_SHARE = 0.75
-#: Part of what is needed that on-demand endpoints need not make up for, if reclaimable
-#: ones cost nothing beside them: the last ones shorten few waits for their price.
+#: Fraction of the needed endpoints that on-demand endpoints do not replace if
+#: reclaimable ones cost nothing in comparison. The last on-demand endpoints shorten few
+#: waits for their price.
 ON_DEMAND_SAVING = 0.1
-#: Part of an engine's slots that requests take on average, where answers are long and
-#: prompts short: each request in a batch slows all of them.
-SLOTS_SHARE = 0.5
-#: Endpoints beyond what the demand needs, as a part of it and at least, so that a
-#: domain which is taken away leaves enough: a new one takes seconds to boot, and none
-#: may be had.
+#: Fraction of an engine's slots that is used on average if answers are long and prompts
+#: short. Each request in a batch slows down all others.
+SLOT_UTILIZATION = 0.5
+#: Spare endpoints, as a fraction of the needed ones and as a minimum. They leave enough
+#: capacity when a domain is reclaimed: a new endpoint takes seconds to boot, and none
+#: may be available.
 SPARE_SHARE = 0.3
 SPARE_ENDPOINTS = 1
-#: Endpoints that a service has at least, so that losing one is not losing all.
-LEAST_ENDPOINTS = 2
+#: Minimum number of endpoints of a service, so that the loss of one is not the loss of
+#: all.
+MIN_ENDPOINTS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class DomainPlan:
-    """Endpoints of both kinds that one failure domain shall have."""
+    """Planned number of endpoints of each kind in one failure domain."""
 
     domain: DomainId
     reclaimable: int
@@ -55,30 +57,31 @@
 
 @dataclass(frozen=True, slots=True)
 class SizingInput:
-    """What the decision rests on.
+    """State of a service from which its number of endpoints is computed.
 
     Attributes
     ----------
     rows : sequence of Endpoint
-        The service's endpoints as listed.
+        Listed endpoints of the service.
     needed, steady : float
-        Endpoints that carry what callers ask for, none of them to spare: at its last
-        peak, and in the mean of some seconds.
+        Number of endpoints that the demand needs, without spare ones: at the last peak
+        of the demand, and for its mean over some seconds.
     least : int
-        Endpoints that are wanted whatever callers ask for.
+        Minimum number of endpoints, independent of the demand.
     exhausted_domains : collection of DomainId
-        Domains where no reclaimable endpoints are to be had at the moment.
+        Domains in which no reclaimable endpoints are available now.
     overdue_domains : collection of DomainId
-        Domains where reclaimable endpoints should serve by now that were ordered.
+        Domains in which ordered reclaimable endpoints should already serve.
     ordered, on_demand : mapping of DomainId to int
-        Endpoints of each kind that were ordered and serve, or may still boot.
+        Reclaimable and on-demand endpoints by domain that were ordered, and that serve
+        or may still boot.
     """
 
     limits: ScalingLimits
     rows: Sequence[Endpoint]
     needed: float
     steady: float
-    least: int = LEAST_ENDPOINTS
+    least: int = MIN_ENDPOINTS
     exhausted_domains: Collection[DomainId] = ()
     overdue_domains: Collection[DomainId] = ()
     ordered: Mapping[DomainId, int] = field(default_factory=dict)
@@ -86,21 +89,21 @@
 
 
 def count_needed(tokens_per_s: float, speed: float) -> float:
-    """Return how many engines carry a demand, none of them to spare.
+    """Return the number of engines that a demand needs, without spare ones.
 
     Parameters
     ----------
     tokens_per_s : float
-        Prompt and output tokens that callers ask for in a second.
+        Prompt and output tokens per second that callers ask for.
     speed : float
-        Prompt tokens that an engine reads in a second.
+        Prompt tokens per second that an engine prefills.
     """
     return tokens_per_s / (PREFILL_SHARE * speed)
 
 
 def count_for_load(load: float, slots: int) -> float:
-    """Return how many engines hold the requests that are under way."""
-    return load / (SLOTS_SHARE * max(1, slots))
+    """Return the number of engines that the requests in flight need."""
+    return load / (SLOT_UTILIZATION * max(1, slots))
 
 
 def count_lost_to_limits(rows: Sequence[Endpoint], requests_per_s: float) -> float:
@@ -123,32 +126,32 @@
     return sum(1.0 - min(1.0, limit / requests_per_s) for limit in limits)
 
 
-def bearable_share(limits: ScalingLimits) -> float:
-    """Return the part of what is needed that on-demand endpoints bring a service to.
+def on_demand_share(limits: ScalingLimits) -> float:
+    """Return the fraction of the needed endpoints up to which on-demand ones are added.
 
     Examples
     --------
-    >>> [bearable_share(ScalingLimits(1, 6, 4.0, price, {})) for price in (0.0, 1.0)]
+    >>> [on_demand_share(ScalingLimits(1, 6, 4.0, price, {})) for price in (0.0, 1.0)]
     [0.9, 1.0]
     """
     return 1.0 - ON_DEMAND_SAVING * (1.0 - min(1.0, limits.reclaimable_price))
 
 
 def target_count(needed: float) -> int:
-    """Return how many endpoints to have, some of them to spare.
+    """Return the number of endpoints to have, including spare ones.
 
     Examples
     --------
     >>> [target_count(needed) for needed in (0.0, 1.8, 4.2, 40.0)]
     [2, 3, 6, 52]
     """
-    whole = ceil(needed)
-    spare = max(SPARE_ENDPOINTS, int(SPARE_SHARE * whole))
-    return max(LEAST_ENDPOINTS, whole + spare)
+    rounded = ceil(needed)
+    spare = max(SPARE_ENDPOINTS, int(SPARE_SHARE * rounded))
+    return max(MIN_ENDPOINTS, rounded + spare)
 
 
 def count_serving(rows: Sequence[Endpoint], domain: DomainId, reclaimable: bool) -> int:
-    """Return how many endpoints of a kind take work in a domain."""
+    """Return the number of endpoints of a kind that accept work in a domain."""
     return sum(
         1
         for row in rows
@@ -159,98 +162,109 @@
 def reclaimed_domains(
     rows: Sequence[Endpoint], ordered: Mapping[DomainId, int | None]
 ) -> set[DomainId]:
-    """Return the domains whose reclaimable endpoints are all being taken away.
+    """Return the domains whose reclaimable endpoints are all being reclaimed.
 
     Parameters
     ----------
     rows : sequence of Endpoint
-        The service's endpoints as listed.
+        Listed endpoints of the service.
     ordered : mapping of DomainId to int or None
-        Reclaimable endpoints last ordered there, None where that is not certain.
+        Number of reclaimable endpoints last ordered by domain, None if it is uncertain.
 
     Notes
     -----
-    Endpoints that were given up leave as well. Taken for a wave, a count lowered by
-    one made the next orders cancel a dozen endpoints that were booting, and replace
-    them on demand at five times the price. A wave takes all that a domain has.
+    Released endpoints also leave, but a reclaim takes all reclaimable endpoints of a
+    domain. When a count lowered by one was mistaken for a reclaim, the next orders
+    cancelled a dozen booting endpoints and replaced them by on-demand ones at five
+    times the price.
     """
     reclaimable = [row for row in rows if row.reclaimable]
     leaving = {row.domain for row in reclaimable if row.leaving}
     serving = {row.domain for row in reclaimable if row.accepts_work}
-    given_up = {domain for domain, count in ordered.items() if count == 0}
-    return leaving - serving - given_up
+    released = {domain for domain, count in ordered.items() if count == 0}
+    return leaving - serving - released
 
 
-def plan_endpoints(given: SizingInput) -> Plan:
-    """Return how many endpoints of each kind each domain shall have.
+def plan_endpoints(inputs: SizingInput) -> Plan:
+    """Return the number of endpoints of each kind that each domain should have.
 
     Notes
     -----
-    Reclaimable endpoints cost a fraction of the others and go a domain at a time, so
-    they are spread evenly. Where a wave takes a domain's, those of the other domains
-    make up for them at the first notice, since they boot as fast as on-demand ones.
-
-    On-demand endpoints come where reclaimable ones are not to be had, for the demand
-    and not for the requests that have piled up: those are through before a new
-    endpoint serves. They come for the mean demand and not for its peaks, and go when
-    reclaimable ones serve in their place, not before.
+    Reclaimable endpoints cost a fraction of on-demand ones and are reclaimed by domain,
+    so they are spread evenly over the domains. When a domain is reclaimed, reclaimable
+    endpoints in other domains replace its endpoints at the first notice, since they
+    boot as fast as on-demand ones.
+
+    On-demand endpoints are added if reclaimable ones are not available. Their number
+    follows the mean demand, not its peaks, and not the accumulated requests, which end
+    before a new endpoint serves. On-demand endpoints are removed only when reclaimable
+    ones serve in their place.
     """
-    limits = given.limits
+    limits = inputs.limits
     domains = sorted(limits.domain_prices, key=lambda d: limits.domain_prices[d])
-    serving = {domain: count_serving(given.rows, domain, True) for domain in domains}
-    present = {domain: count_serving(given.rows, domain, False) for domain in domains}
-    target = max(target_count(given.needed), given.least)
-    reclaimable = _spread(domains, target, serving, present, given)
-    coming = {d: _coming(d, serving[d], reclaimable[d], given) for d in domains}
-    needed = max(LEAST_ENDPOINTS, ceil(bearable_share(limits) * given.steady))
-    on_demand = {d: max(present[d], given.on_demand.get(d, 0)) for d in domains}
-    most = max(0, needed - sum(serving.values()))
-    least = max(0, needed - sum(coming.values()))
-    count = min(max(sum(on_demand.values()), least), most)
-    # What cannot be had must not take the room of what can.
-    taken = {
-        d: serving[d] if d in given.exhausted_domains else reclaimable[d]
+    serving = {domain: count_serving(inputs.rows, domain, True) for domain in domains}
+    serving_on_demand = {
+        domain: count_serving(inputs.rows, domain, False) for domain in domains
+    }
+    target = max(target_count(inputs.needed), inputs.least)
+    reclaimable = _plan_reclaimable(domains, target, serving, serving_on_demand, inputs)
+    expected = {
+        d: _count_expected(d, serving[d], reclaimable[d], inputs) for d in domains
+    }
+    needed = max(MIN_ENDPOINTS, ceil(on_demand_share(limits) * inputs.steady))
+    on_demand = {
+        d: max(serving_on_demand[d], inputs.on_demand.get(d, 0)) for d in domains
+    }
+    max_count = max(0, needed - sum(serving.values()))
+    min_count = max(0, needed - sum(expected.values()))
+    count = min(max(sum(on_demand.values()), min_count), max_count)
+    # Unavailable reclaimable endpoints must not take the room of on-demand ones.
+    occupied = {
+        d: serving[d] if d in inputs.exhausted_domains else reclaimable[d]
         for d in domains
     }
-    placed = _place_on_demand(domains, count, on_demand, taken, limits)
+    allocated = _allocate_on_demand(domains, count, on_demand, occupied, limits)
     return tuple(
-        DomainPlan(d, min(reclaimable[d], limits.most - placed[d]), placed[d])
+        DomainPlan(d, min(reclaimable[d], limits.most - allocated[d]), allocated[d])
         for d in domains
     )
 
 
-def _coming(domain: DomainId, serving: int, planned: int, given: SizingInput) -> int:
-    """Return how many reclaimable endpoints of a domain may be counted on."""
-    if domain in given.overdue_domains:
+def _count_expected(
+    domain: DomainId, serving: int, planned: int, inputs: SizingInput
+) -> int:
+    """Return the number of reclaimable endpoints of a domain that should serve soon."""
+    if domain in inputs.overdue_domains:
         return serving
-    if domain in given.exhausted_domains:
-        return max(serving, given.ordered.get(domain, 0))
+    if domain in inputs.exhausted_domains:
+        return max(serving, inputs.ordered.get(domain, 0))
     return planned
 
 
-def _spread(
+def _plan_reclaimable(
     domains: Sequence[DomainId],
     target: int,
     serving: Mapping[DomainId, int],
     on_demand: Mapping[DomainId, int],
-    given: SizingInput,
+    inputs: SizingInput,
 ) -> dict[DomainId, int]:
-    """Return the reclaimable endpoints of each domain, beside the on-demand ones.
+    """Return the number of reclaimable endpoints that each domain should have.
 
     Notes
     -----
-    What serves or boots stays until more serve than are wanted: an endpoint that is
-    given up in one domain for one that boots in another is missed for its boot.
+    Serving and booting endpoints are kept until more endpoints serve than the target.
+    If an endpoint were released for one that boots in another domain, its capacity
+    would be missing during the boot.
     """
-    limits = given.limits
+    limits = inputs.limits
     room = {d: max(0, limits.most - on_demand[d]) for d in domains}
     counts = {
-        d: min(room[d], max(serving[d], given.ordered.get(d, 0))) for d in domains
+        d: min(room[d], max(serving[d], inputs.ordered.get(d, 0))) for d in domains
     }
-    open_domains = [d for d in domains if d not in given.exhausted_domains]
-    equal = max(1, limits.least, target // len(domains))
+    open_domains = [d for d in domains if d not in inputs.exhausted_domains]
+    equal_share = max(1, limits.least, target // len(domains))
     for domain in open_domains:
-        counts[domain] = max(counts[domain], min(room[domain], equal))
+        counts[domain] = max(counts[domain], min(room[domain], equal_share))
     while sum(counts.values()) < target:
         with_room = [d for d in open_domains if counts[d] < room[d]]
         if not with_room:
@@ -258,29 +272,29 @@
         counts[min(with_room, key=lambda d: counts[d])] += 1
     surplus = sum(min(serving[d], counts[d]) for d in domains) - target
     for _ in range(max(0, surplus)):
-        most = max(domains, key=lambda d: (counts[d], limits.domain_prices[d]))
-        if counts[most] <= equal:
+        largest = max(domains, key=lambda d: (counts[d], limits.domain_prices[d]))
+        if counts[largest] <= equal_share:
             break
-        counts[most] -= 1
+        counts[largest] -= 1
     return counts
 
 
-def _place_on_demand(
+def _allocate_on_demand(
     domains: Sequence[DomainId],
     missing: int,
     ordered: Mapping[DomainId, int],
     reclaimable: Mapping[DomainId, int],
     limits: ScalingLimits,
 ) -> dict[DomainId, int]:
-    """Return the on-demand endpoints of each domain; those that run are kept first."""
-    placed = dict.fromkeys(domains, 0)
+    """Return the number of on-demand endpoints per domain, ordered ones first."""
+    allocated = dict.fromkeys(domains, 0)
     for domain in domains:
         room = max(0, limits.most - reclaimable[domain])
-        placed[domain] = min(ordered[domain], missing, room)
-        missing -= placed[domain]
+        allocated[domain] = min(ordered[domain], missing, room)
+        missing -= allocated[domain]
     for domain in domains:
-        room = max(0, limits.most - reclaimable[domain]) - placed[domain]
+        room = max(0, limits.most - reclaimable[domain]) - allocated[domain]
         more = min(missing, room)
-        placed[domain] += more
+        allocated[domain] += more
         missing -= more
-    return placed
+    return allocated
--- a/poplarrelay/entry/slots.py
+++ b/poplarrelay/entry/slots.py
@@ -1,4 +1,4 @@
-"""Places at endpoints: taken at once, waited for, or refused."""
+"""Allocation of slots at endpoints to requests."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
 
 __all__ = ["NO_ENDPOINT_RETRY_S", "SlotAllocator"]
 
-#: Seconds after which a caller comes back for a service without endpoints; a new one
-#: takes some seconds to boot, and its record comes within one poll.
+#: Retry delay in seconds for callers of a service without endpoints. A new endpoint
+#: takes some seconds to boot, and its record is read with the next poll.
 NO_ENDPOINT_RETRY_S = 1.0
 
 
 class SlotAllocator:
-    """The places at endpoints that this node takes.
+    """Allocates slots at endpoints to the requests of this node.
 
     Parameters
     ----------
     state : EntryState
-        The node's tables.
+        Tables of the node.
     backlog_client : BacklogClient
-        Asks what prompts are in line at engines.
+        Requests the backlogs of engines from their coordinators.
     permits : PermitBroker
         Obtains permits for endpoints that state a limit.
     """
@@ -62,14 +62,14 @@
         self._backlog_client = backlog_client
         self._permits = permits
         permits.on_permit = self.dispatch_queued
-        permits.on_denial = self._refuse_late_waiters
-        self._waiting = RequestQueue()
+        permits.on_denial = self._refuse_late_requests
+        self._queue = RequestQueue()
 
     def retry_after(self, context: RequestContext) -> float:
-        """Return when a refused caller shall come back."""
+        """Return the delay after which a refused caller should retry, in seconds."""
         now = monotonic()
         return retry_after(
-            self._waiting.length(context.service),
+            self._queue.length(context.service),
             self._state.end_rate(context.service, now),
             context.remaining_s,
         )
@@ -77,12 +77,12 @@
     def _choose(
         self, service: ServiceName, criteria: SelectionCriteria
     ) -> Choice | None:
-        """Choose an endpoint with room and take a place at it."""
+        """Choose an endpoint with a free slot and acquire the slot."""
         now = monotonic()
         rows = self._state.endpoints.accepting(service)
         self._permits.prepare(rows, now)
         choice = choose_endpoint(
-            self._trusted(rows, now), criteria, now, self._state.rng
+            self._known_accepting(rows, now), criteria, now, self._state.rng
         )
         if choice is None:
             choice = choose_endpoint(rows, criteria, now, self._state.rng)
@@ -90,50 +90,53 @@
             choice.endpoint.acquire_slot()
         return choice
 
-    async def _choose_asking(
+    async def _choose_engine(
         self, context: RequestContext, criteria: SelectionCriteria
     ) -> Choice | Refusal | None:
-        """Choose an engine with room by what is in line there, and take a place.
+        """Choose an engine with a free slot by its backlog, and acquire the slot.
 
-        Refuse the request if its first event would be late wherever it goes.
+        Refuse the request if its first event would be late at every candidate.
         """
         now = monotonic()
         rows = self._state.endpoints.accepting(context.service)
         self._permits.prepare(rows, now)
         rng = self._state.rng
-        drawn = sample_candidates(self._trusted(rows, now), criteria, now, rng)
-        drawn = drawn or sample_candidates(rows, criteria, now, rng)
+        candidates = sample_candidates(
+            self._known_accepting(rows, now), criteria, now, rng
+        )
+        candidates = candidates or sample_candidates(rows, criteria, now, rng)
         prefix = context.request.prefix
         views = await self._backlog_client.ask(
-            [row.endpoint for row in drawn], [part.part for part in prefix[:-1]]
+            [row.endpoint for row in candidates], [part.part for part in prefix[:-1]]
         )
         now = monotonic()
         down = {endpoint for endpoint, view in views.items() if view.down}
         cached_tokens = {}
-        for row in drawn:
+        for row in candidates:
             view = views.get(row.endpoint)
             if view is not None:
                 row.update_backlog(view.tokens, view.speed, now)
                 cached_tokens[row.endpoint] = view.cached_tokens_at(prefix)
-        # Some may have left, or filled up, while their keepers were asked.
-        open_rows = [row for row in drawn if row.accepts_work and row.free]
-        open_rows = [row for row in open_rows if row.endpoint not in down] or open_rows
-        if not open_rows:
+        # Endpoints may have left or become full while the coordinators replied.
+        available = [row for row in candidates if row.accepts_work and row.free]
+        available = [row for row in available if row.endpoint not in down] or available
+        if not available:
             return None
-        choice = choose_candidate(open_rows, criteria, cached_tokens, now)
+        choice = choose_candidate(available, criteria, cached_tokens, now)
         if not context.may_have_run and not starts_in_time(
             self._forecast(context, choice, now)
         ):
-            # Its home keeps nothing of it yet, and another engine may be in time.
+            # The affinity endpoint may have none of the prompt cached yet. Without that
+            # assumption another engine may be in time.
             choice = choose_candidate(
-                open_rows, criteria, cached_tokens, now, assume_affinity_cached=False
+                available, criteria, cached_tokens, now, assume_affinity_cached=False
             )
             forecast = self._forecast(context, choice, now)
             if not starts_in_time(forecast):
                 wait_s = bound_retry_after(
                     retry_after_queue(forecast), context.remaining_s
                 )
-                detail = f"{forecast.queue_s:.2f} s in line"
+                detail = f"{forecast.queue_s:.2f} s queue time"
                 return Refusal(503, RefusalReason.BEHIND, wait_s, detail)
         choice.endpoint.acquire_slot()
         return choice
@@ -146,25 +149,29 @@
         target_s = context.route.target_s
         return FirstEventForecast(waited_s, choice.queue_s, choice.prefill_s, target_s)
 
-    def _trusted(self, rows: list[Endpoint], now: float) -> list[Endpoint]:
-        """Return the endpoints that are known not to have left, as far as any is."""
+    def _known_accepting(self, rows: list[Endpoint], now: float) -> list[Endpoint]:
+        """Return the endpoints that are last known to accept work.
+
+        If the endpoint list is too old, these are only endpoints that have answered
+        within the age bound.
+        """
         freshness = self._state.freshness
         if not freshness.within_bound(now):
             rows = answered_since(rows, now - freshness.times.max_list_age_s)
         return [row for row in rows if row.suspended_until is None]
 
     async def take(self, context: RequestContext) -> Choice | Refusal:
-        """Take a place for a request, waiting for one if need be."""
+        """Acquire a slot for a request; wait in the queue if no slot is free."""
         criteria = self._criteria(context, tuple(context.tried))
         choice: Choice | Refusal | None
         if criteria.is_prompt:
-            choice = await self._choose_asking(context, criteria)
+            choice = await self._choose_engine(context, criteria)
         else:
             choice = self._choose(context.service, criteria)
         if choice is not None:
             return choice
         if context.tried and not self._has_untried(context):
-            # Every endpoint was tried; one of them may have room again.
+            # All endpoints have been tried; one of them may have a free slot now.
             criteria = self._criteria(context, ())
             choice = self._choose(context.service, criteria)
             if choice is not None:
@@ -173,7 +180,7 @@
             if context.may_have_run:
                 return Refusal(502, RefusalReason.UNKNOWN, detail="no other endpoint")
             return Refusal(503, RefusalReason.NO_ENDPOINT, NO_ENDPOINT_RETRY_S)
-        return await self._wait(context, criteria)
+        return await self._wait_for_slot(context, criteria)
 
     def _criteria(
         self, context: RequestContext, tried: tuple[EndpointId, ...]
@@ -191,43 +198,47 @@
         rows = self._state.endpoints.accepting(context.service)
         return any(row.endpoint not in context.tried for row in rows)
 
-    async def _wait(
+    async def _wait_for_slot(
         self, context: RequestContext, criteria: SelectionCriteria
     ) -> Choice | Refusal:
-        longest_s = max_queue_wait(context.route, context.remaining_s)
-        ahead = self._waiting.length(context.service)
+        max_wait_s = max_queue_wait(context.route, context.remaining_s)
+        ahead = self._queue.length(context.service)
         permit_wait_s = self._permit_wait(context.service, ahead, monotonic())
-        if permit_wait_s is not None and permit_wait_s > longest_s:
+        if permit_wait_s is not None and permit_wait_s > max_wait_s:
             return self._limit_refusal(context, permit_wait_s)
-        slot: asyncio.Future[Choice | PermitDenied]
-        slot = asyncio.get_running_loop().create_future()
-        until = monotonic() + longest_s
-        self._waiting.join(context.service, context.priority, criteria, slot, until)
+        future: asyncio.Future[Choice | PermitDenied]
+        future = asyncio.get_running_loop().create_future()
+        expires_at = monotonic() + max_wait_s
+        self._queue.join(
+            context.service, context.priority, criteria, future, expires_at
+        )
         try:
-            found = await within(longest_s, slot)
-            if isinstance(found, PermitDenied):
-                return self._limit_refusal(context, found.wait_s)
-            return found
+            outcome = await within(max_wait_s, future)
+            if isinstance(outcome, PermitDenied):
+                return self._limit_refusal(context, outcome.wait_s)
+            return outcome
         except TimeoutError:
             if context.may_have_run:
-                return Refusal(502, RefusalReason.UNKNOWN, detail="others are full")
+                return Refusal(
+                    502, RefusalReason.UNKNOWN, detail="other endpoints are full"
+                )
             return Refusal(503, RefusalReason.FULL, self.retry_after(context))
         except asyncio.CancelledError:
-            if slot.done() and not slot.cancelled():
-                found = slot.result()
-                if not isinstance(found, PermitDenied):
-                    self.leave(context.service, found.endpoint)
+            if future.done() and not future.cancelled():
+                outcome = future.result()
+                if not isinstance(outcome, PermitDenied):
+                    self.leave(context.service, outcome.endpoint)
             raise
         finally:
-            slot.cancel()
+            future.cancel()
 
     def _permit_wait(
         self, service: ServiceName, ahead: int, now: float
     ) -> float | None:
         """Return the expected wait for a permit, in seconds.
 
-        Returns None unless all accepting endpoints are limited: a request may otherwise
-        get a place without a permit.
+        Returns None unless all accepting endpoints are limited: otherwise a request can
+        get a slot without a permit.
         """
         rows = self._state.endpoints.accepting(service)
         limits = [row.limit_per_s for row in rows if row.limit_per_s is not None]
@@ -239,23 +250,25 @@
 
     def _limit_refusal(self, context: RequestContext, wait_s: float) -> Refusal:
         if context.may_have_run:
-            return Refusal(502, RefusalReason.UNKNOWN, detail="others are limited")
+            return Refusal(
+                502, RefusalReason.UNKNOWN, detail="other endpoints are limited"
+            )
         wait_s = bound_retry_after(wait_s, context.remaining_s)
         return Refusal(503, RefusalReason.LIMITED, wait_s)
 
-    def _refuse_late_waiters(self, service: ServiceName) -> None:
-        """Refuse the waiting requests that no permit is expected to reach in time."""
+    def _refuse_late_requests(self, service: ServiceName) -> None:
+        """Refuse the queued requests for which no permit is expected in time."""
         now = monotonic()
-        for ahead, waiter in enumerate(self._waiting.pending(service)):
+        for ahead, queued in enumerate(self._queue.pending(service)):
             wait_s = self._permit_wait(service, ahead, now)
-            if wait_s is not None and now + wait_s > waiter.until:
-                waiter.slot.set_result(PermitDenied(wait_s))
+            if wait_s is not None and now + wait_s > queued.expires_at:
+                queued.future.set_result(PermitDenied(wait_s))
 
     def leave(self, service: ServiceName, row: Endpoint) -> None:
-        """Free a place, and give it to a request that waits."""
+        """Release a slot and assign it to a queued request."""
         row.running -= 1
         self.dispatch_queued(service)
 
     def dispatch_queued(self, service: ServiceName) -> None:
-        """Give places that have come free to requests that wait."""
-        self._waiting.serve(service, lambda criteria: self._choose(service, criteria))
+        """Assign free slots to queued requests."""
+        self._queue.serve(service, lambda criteria: self._choose(service, criteria))
--- a/poplarrelay/entry/tests/test_calls.py
+++ b/poplarrelay/entry/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services through an entry node, in front of stand-ins."""
+"""Tests of calls to plain services through an entry node, with stand-in endpoints."""
 
 import asyncio
 import socket
@@ -29,7 +29,7 @@
     return float(value)
 
 
-def test_call_is_passed_on_byte_for_byte():
+def test_call_is_forwarded_byte_for_byte():
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -48,9 +48,9 @@
     run_scenario(scenario)
 
 
-def test_endpoint_gets_what_is_the_systems_to_set():
-    # A caller sends headers that choose a team, an endpoint or another's KV cache.
-    # The endpoint must get the system's own values, or none; the key stays here.
+def test_callers_cannot_set_headers_of_the_system():
+    # Guards against callers that choose a team, an endpoint or another caller's KV
+    # cache by a header, and against forwarding the caller's key to the endpoint.
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -87,7 +87,7 @@
     run_scenario(scenario)
 
 
-def test_credentials_reach_endpoints_only_where_no_keys_are_known():
+def test_credentials_reach_endpoints_only_if_no_teams_are_configured():
     async def scenario():
         async with run_entry_site() as site:
             site.configure(2, tenants=[])
@@ -111,7 +111,7 @@
         ("/open/x", "", 200),
     ],
 )
-def test_configuration_decides_who_is_let_in(path, key, status):
+def test_configuration_decides_which_calls_are_admitted(path, key, status):
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -125,8 +125,8 @@
 
 
 def test_idempotent_call_goes_to_a_second_endpoint_after_a_reset():
-    # The first endpoint runs the call and resets the connection; nobody knows how
-    # far it came. The call may run twice, so the caller gets the second's answer.
+    # The first endpoint resets the connection, so the outcome of the call is unknown.
+    # An idempotent call can run twice, so it is sent to the second endpoint.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
@@ -148,11 +148,10 @@
     "fault", [Fault.RESET, Fault.HANG, Fault.SHORT, Fault.STRAY, Fault.NOISE]
 )
 @pytest.mark.parametrize("path", ["/book/x", "/pay/x"])
-def test_booking_runs_once_and_is_never_told_not_run(fault, path):
-    # The endpoint takes a booking and gives no usable answer. The booking may have
-    # been made: it must not be sent again, and no status may promise that it was
-    # not made. That holds also where the route allows two endpoints, which is for
-    # bookings that the first one refused.
+def test_booking_that_may_have_run_is_not_repeated_or_reported_as_not_run(fault, path):
+    # The endpoint receives a booking and gives no usable answer. Guards against a
+    # second booking, and against a status that says that the first was not made. The
+    # second route allows two attempts, but only if the first endpoint refuses.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
@@ -167,9 +166,9 @@
     run_scenario(scenario)
 
 
-def test_full_endpoint_is_a_promise_that_the_booking_did_not_run():
-    # The only endpoint refuses without running. The caller gets 503 with the time to
-    # come back, and the promise is true: no endpoint has run it.
+def test_booking_refused_by_a_full_endpoint_gets_503_and_does_not_run():
+    # The only endpoint refuses the booking without running it. The caller gets 503 with
+    # a retry delay, which says that the booking was not made.
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -184,7 +183,8 @@
 
 
 def test_refused_booking_goes_to_the_other_endpoint():
-    # The first endpoint says that it did not run the booking; the route allows two.
+    # The first endpoint says that it did not run the booking, and the route allows two
+    # attempts.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
@@ -201,15 +201,15 @@
     run_scenario(scenario)
 
 
-def test_answer_after_a_second_one_is_the_requests_own():
-    # An endpoint sends a second answer behind the first. It would be read as the
-    # answer to the next request on that connection, perhaps of another caller.
+def test_extra_answer_is_not_taken_for_the_next_answer():
+    # An endpoint sends a second answer after the first. Guards against taking it for
+    # the answer to the next request on the connection, possibly of another caller.
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             runner.faults.append(Fault.EXTRA)
-            # Bookings: a wrong answer would not be mended by a second attempt.
+            # Bookings are not retried, so a wrong answer cannot be corrected.
             for _ in range(4):
                 answer = await site.call("/book/x")
                 assert answer.status == 200
@@ -218,7 +218,7 @@
     run_scenario(scenario)
 
 
-def test_answer_without_a_length_is_passed_on_whole():
+def test_answer_without_a_length_is_forwarded_completely():
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -231,9 +231,9 @@
     run_scenario(scenario)
 
 
-def test_silent_endpoint_is_left_in_time_for_a_second_one():
-    # One endpoint hangs. An idempotent call must not wait for the caller's deadline
-    # there while another endpoint could answer it.
+def test_call_to_a_silent_endpoint_is_retried_before_its_deadline():
+    # One endpoint hangs. Guards against idempotent calls that wait for it until the
+    # caller's deadline although another endpoint could answer.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
@@ -246,9 +246,9 @@
     run_scenario(scenario)
 
 
-def test_address_of_another_endpoint_is_not_used_for_its_predecessor():
-    # An endpoint has gone and another one has its address. The request names the
-    # one that was meant, the other refuses, and the caller gets an answer elsewhere.
+def test_endpoint_at_a_reused_address_does_not_run_the_request():
+    # Another endpoint listens at the address of an endpoint that has gone. Requests
+    # name the intended endpoint, so the other one refuses them and r2 gets them.
     async def scenario():
         async with run_entry_site() as site:
             first = await site.add_runner("r1", CALLS)
@@ -262,7 +262,7 @@
     run_scenario(scenario)
 
 
-def test_leaving_endpoint_gets_nothing_more():
+def test_leaving_endpoint_gets_no_more_requests():
     async def scenario():
         async with run_entry_site() as site:
             leaving = await site.add_runner("r1", CALLS)
@@ -280,8 +280,8 @@
 
 
 def test_route_timeout_ends_the_wait():
-    # The endpoint never answers a booking. The operators let callers wait for 0.4 s
-    # on this route, whatever the caller would bear.
+    # The endpoint never answers. The route's timeout of 0.4 s applies although the
+    # caller would wait longer.
     async def scenario():
         async with run_entry_site() as site:
             routes = entry_configuration()["routes"]
@@ -301,7 +301,7 @@
     run_scenario(scenario)
 
 
-def test_service_without_endpoints_is_refused_at_once():
+def test_call_to_a_service_without_endpoints_is_refused():
     async def scenario():
         async with run_entry_site() as site:
             await site.ready()
@@ -312,10 +312,10 @@
     run_scenario(scenario)
 
 
-def test_waiting_requests_get_the_places_that_come_free():
-    # The endpoint works on two calls at a time and refuses more. Ten callers come
-    # together: the node keeps them waiting, and the endpoint sees no more than two.
-    # Their target is seconds, so that none of them waits it out on a busy machine.
+def test_queued_calls_get_the_slots_that_become_free():
+    # The endpoint has two slots. Guards against more than two of ten concurrent calls
+    # at the endpoint. The latency target is seconds, so that no call times out in the
+    # queue on a busy machine.
     patient = {"timeoutMs": 9000, "targetLatencyMs": 9000}
     routes = [{**route, **patient} for route in entry_configuration()["routes"]]
 
@@ -335,8 +335,9 @@
     run_scenario(scenario)
 
 
-def test_places_that_came_free_in_a_standstill_are_given():
-    # Guards against refusals of waiting calls while the endpoint has room again.
+def test_slots_freed_during_a_pause_are_assigned():
+    # Guards against refusals of queued calls although slots became free while the
+    # process was paused.
     patient = {"timeoutMs": 5000, "targetLatencyMs": 1000 * TARGET_S}
     routes = [{**route, **patient} for route in entry_configuration()["routes"]]
 
@@ -359,9 +360,9 @@
     run_scenario(scenario)
 
 
-def test_flood_beyond_a_quota_is_told_when_to_come_back():
-    # A team may send three calls at once and one a second. Its flood gets that and no
-    # more: refusals take nothing from the quota, and give nothing back to it.
+def test_calls_beyond_a_quota_are_refused_with_retry_after():
+    # The quota is a burst of three calls and one call per second. Guards against
+    # refusals that take from the quota or refund it.
     async def scenario():
         async with run_entry_site() as site:
             tenants = [{"name": "alpha", "apiKeys": [KEY], "ratePerS": 1, "burst": 3}]
@@ -380,10 +381,10 @@
     run_scenario(scenario)
 
 
-# what is not valid
+# Invalid requests
 
 
-async def _raw(site, content, wait_close=True):
+async def send_raw(site, content, wait_close=True):
     reader, writer = await asyncio.open_connection(*site.address())
     writer.write(content)
     data = b""
@@ -420,14 +421,12 @@
     ],
     ids=["noise", "head", "body", "half body", "half head", "two framings", "lengths"],
 )
-def test_what_is_not_valid_gets_a_typed_refusal_and_reaches_no_endpoint(
-    content, status
-):
+def test_invalid_request_is_refused_and_reaches_no_endpoint(content, status):
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
-            answer = await _raw(site, content)
+            answer = await send_raw(site, content)
             assert answer.split()[1] == status
             assert all(got.target == "/look/x" for got in runner.received)
             assert (await site.call("/look/x")).status == 200
@@ -435,23 +434,23 @@
     run_scenario(scenario)
 
 
-def test_body_in_chunks_arrives_whole():
+def test_chunked_body_arrives_completely():
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
             content = f"{HEAD}Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
             chunks = "5\r\nhello\r\n7\r\n, world\r\n0\r\n\r\n"
-            answer = await _raw(site, (content + chunks).encode())
+            answer = await send_raw(site, (content + chunks).encode())
             assert answer.split()[1] == b"200"
             assert runner.ran[0].body == b"hello, world"
 
     run_scenario(scenario)
 
 
-def test_endpoint_learns_that_the_caller_left():
-    # A caller closes while its idempotent call is being worked on. The endpoint's
-    # connection must close too, or it works on for nobody.
+def test_endpoint_connection_closes_when_the_caller_disconnects():
+    # A caller disconnects while its call runs. Guards against an endpoint that
+    # continues a call without a caller: its connection must close too.
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -466,7 +465,7 @@
     run_scenario(scenario)
 
 
-def test_connections_to_endpoints_are_kept():
+def test_connections_to_endpoints_are_reused():
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -480,7 +479,7 @@
 
 def test_call_reaches_no_more_endpoints_than_its_route_allows():
     # All four endpoints run the call and reset the connection. The route allows two
-    # of them; the budget for repeated sends would allow more.
+    # attempts, while the retry budget would allow more.
     async def scenario():
         async with run_entry_site() as site:
             names = [f"r{number}" for number in range(4)]
@@ -495,8 +494,8 @@
 
 
 def test_request_whose_handler_fails_gets_an_answer(monkeypatch):
-    # A fault of the node's own, in the middle of a request. The caller must not wait
-    # for an answer that nobody makes, and the node goes on serving.
+    # The node's own handler raises an exception. Guards against a caller that waits for
+    # an answer that is never sent, and against a node that stops serving.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
@@ -509,9 +508,9 @@
     run_scenario(scenario)
 
 
-def test_address_that_refuses_is_not_an_attempt():
-    # One endpoint is gone without a word: its address refuses connections. The
-    # booking has reached nobody, so it may go to the other one.
+def test_refused_connection_does_not_count_as_an_attempt():
+    # One endpoint is gone without notice, and its address refuses connections. The
+    # booking has reached no endpoint, so it can be sent to the other one.
     async def scenario():
         async with run_entry_site() as site:
             with socket.socket() as probe:
--- a/poplarrelay/entry/tests/test_limited_endpoints.py
+++ b/poplarrelay/entry/tests/test_limited_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that state a request rate limit for all nodes together."""
+"""Tests of endpoints that state a request rate limit for all nodes together."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     ("path", "service"), [("/look/x", CALLS), ("/draft/x", STREAMS)]
 )
 def test_endpoint_gets_no_more_than_it_states_from_all_nodes(path, service, limit):
-    # Guards against nodes that ignore the limit, or that each use all of it.
+    # Guards against nodes that ignore the limit, or that each use the full limit.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             runners = await add_endpoints(site, service, [str(limit), None, None, None])
@@ -79,8 +79,8 @@
     run_scenario(scenario)
 
 
-def test_calls_beyond_all_limits_are_refused_and_told_when_to_retry():
-    # Guards against calls that time out waiting for endpoints at their limit.
+def test_calls_beyond_all_limits_are_refused_with_retry_after():
+    # Guards against calls that wait for endpoints at their limit until they time out.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             runners = await add_endpoints(site, CALLS, ["2", "2"])
@@ -105,7 +105,7 @@
 
 
 def test_changed_or_cleared_limit_takes_effect():
-    # Guards against stale limits.
+    # Guards against nodes that keep a limit after the endpoint changed or cleared it.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             runners = await add_endpoints(site, CALLS, ["1", None])
@@ -167,7 +167,7 @@
 
 @pytest.mark.processes
 def test_node_processes_keep_to_a_limit_while_one_is_restarted(tmp_path):
-    # Guards against exceeding the limit when a node is killed and rejoins.
+    # Guards against requests beyond the limit when a node is killed and rejoins.
     async def scenario():
         async with run_entry_site(nodes=0) as site:
             await site.start_processes("abc", tmp_path)
--- a/poplarrelay/entry/tests/test_permits.py
+++ b/poplarrelay/entry/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits for endpoints that state a limit, issued across all nodes."""
+"""Tests of permits for endpoints that state a limit, issued across all nodes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     st.lists(st.floats(0, 3), max_size=60),
     st.lists(st.sampled_from([0.0, 0.3, 1.0, 1.7, 5.0]), min_size=60, max_size=60),
 )
-def test_issuer_keeps_to_the_highest_limit_whatever_it_is_asked(pauses, limits):
+def test_issuer_never_exceeds_the_highest_requested_limit(pauses, limits):
     issuer, now, issued = PermitIssuer(), 100.0, []
     for pause, limit in zip(pauses, limits, strict=False):
         now += pause
@@ -42,7 +42,7 @@
 
 
 def test_idle_issuer_does_not_accumulate_permits():
-    # Guards against a burst after a freeze.
+    # Guards against a burst of permits after the process was paused.
     issuer = PermitIssuer()
     issuer.issue(ENDPOINT, RUN, 10.0, 1.0, 100.0)
     granted = sum(
@@ -51,8 +51,9 @@
     assert granted <= 1 + 10.0 * CATCH_UP_S
 
 
-def test_raised_limit_takes_effect_at_its_own_interval():
-    # Guards against waiting for the probe interval after a limit of zero is raised.
+def test_raised_limit_takes_effect_at_its_new_interval():
+    # Guards against nodes that wait for the interval of the previous limit, here the
+    # probe interval of a limit of zero.
     issuer = PermitIssuer()
     issuer.issue(ENDPOINT, RUN, 0.0, 1.0, 100.0)
     permit = issuer.issue(ENDPOINT, RUN, 10.0, 1.0, 100.1)
@@ -61,7 +62,8 @@
 
 
 def test_limit_of_zero_allows_probes():
-    # Guards against a limit of zero that is never cleared for lack of answers.
+    # Guards against a limit of zero that is never cleared: only an answer to a request
+    # can clear it.
     issuer, now, issued = PermitIssuer(), 100.0, 0
     while now < 130.0:
         issued += issuer.issue(ENDPOINT, RUN, 0.0, 1.0, now).granted
@@ -72,7 +74,8 @@
 @pytest.mark.parametrize("nodes", [1, 3, 9, 61, 195])
 @pytest.mark.parametrize("limit", [1.0, 12.5])
 def test_all_nodes_together_keep_to_a_limit_and_use_it(nodes, limit):
-    # Guards against a burst of one request per node, and against unusable shares.
+    # Guards against a burst of one request per node, and against shares of the limit
+    # that are too small to use.
     network = PermitNetwork.starting(nodes, loss=0.025)
     network.state_limit("host-0", limit)
     for _ in network.run(12.0):
@@ -83,7 +86,7 @@
 
 
 @pytest.mark.parametrize("nodes", [9, 61])
-def test_groups_that_are_cut_off_keep_to_the_limit_together(nodes):
+def test_partitioned_groups_keep_to_the_limit_together(nodes):
     network = PermitNetwork.starting(nodes)
     network.state_limit("host-0", 5.0)
     for _ in network.run(6.0):
@@ -94,7 +97,8 @@
         pass
     times = network.request_times()
     assert max_in_window(times) <= allowed(5.0)
-    # After detection, the shares of both groups add up to the limit.
+    # When the nodes have detected the partition, the shares of both groups add up to
+    # the limit.
     late = [at for at in times if at > network.now - WINDOW_S]
     assert len(late) <= 5.0 * WINDOW_S + 2
 
@@ -159,7 +163,8 @@
 
 
 def test_node_without_permit_support_accepts_the_messages(caplog):
-    # Guards against messages that nodes of the previous version cannot read.
+    # Guards against messages that nodes of a previous version, without permits, cannot
+    # read.
     network = make_network(2, settle_s=2.0)
     one, other = network.alive
     network.nodes[one].send_permits([other], [["ask", "e", None, 1.0]])
--- a/poplarrelay/entry/tests/test_places.py
+++ b/poplarrelay/entry/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Tests of places at endpoints that state a limit, without a network."""
+"""Tests of slots at endpoints that state a limit, without a network."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def make_slot_allocator(
     limits: list[float | None],
 ) -> tuple[SlotAllocator, PermitBroker, EntryState]:
-    """Return the places of a node whose peer issues permits for all endpoints."""
+    """Return the slot allocator of a node whose peer issues all permits."""
     listeners = dict.fromkeys(
         ("callers", "readiness", "discovery", "control"), "127.0.0.1:1"
     )
@@ -62,7 +62,7 @@
         await asyncio.sleep(0)
 
 
-def test_call_is_refused_without_a_wait_if_no_permit_comes_in_time():
+def test_call_is_refused_immediately_if_no_permit_is_due_in_time():
     # Guards against calls that wait for endpoints at their limit until they time out.
     async def scenario():
         slot_allocator, _, state = make_slot_allocator([2.0, 2.0])
@@ -78,20 +78,20 @@
     asyncio.run(scenario())
 
 
-def test_waiting_calls_are_refused_once_permits_are_denied():
-    # Guards against calls that keep waiting when no permit can arrive in time.
+def test_queued_calls_are_refused_when_permits_are_denied():
+    # Guards against calls that stay queued although no permit can arrive in time.
     async def scenario():
         slot_allocator, broker, _ = make_slot_allocator([50.0, 50.0])
-        waiting = [
+        queued = [
             asyncio.create_task(slot_allocator.take(make_request_context(SERVICE)))
             for _ in range(3)
         ]
         await run_other_tasks()
-        assert not any(task.done() for task in waiting)
+        assert not any(task.done() for task in queued)
         broker.receive("elsewhere", [["permit", "e0", None, 0.9]])
         broker.receive("elsewhere", [["permit", "e1", None, 0.9]])
         await run_other_tasks()
-        for task in waiting:
+        for task in queued:
             refusal = task.result()
             assert isinstance(refusal, Refusal)
             assert refusal.reason is RefusalReason.LIMITED
@@ -99,17 +99,15 @@
     asyncio.run(scenario())
 
 
-def test_waiting_call_gets_the_place_once_a_permit_comes():
+def test_queued_call_gets_a_slot_when_a_permit_arrives():
     # Guards against permits that expire unused while calls wait for them.
     async def scenario():
         slot_allocator, broker, state = make_slot_allocator([2.0])
-        waiting = asyncio.create_task(
-            slot_allocator.take(make_request_context(SERVICE))
-        )
+        queued = asyncio.create_task(slot_allocator.take(make_request_context(SERVICE)))
         await run_other_tasks()
         broker.receive("elsewhere", [["permit", "e0", None, 0.0]])
         await run_other_tasks()
-        choice = waiting.result()
+        choice = queued.result()
         assert not isinstance(choice, Refusal)
         assert choice.endpoint.endpoint == "e0"
         assert state.endpoints.rows[EndpointId("e0")].permits == []
@@ -118,7 +116,7 @@
 
 
 def test_endpoint_without_a_limit_is_used_beside_one_at_its_limit():
-    # Guards against refusals while another endpoint has capacity.
+    # Guards against refusals while another endpoint has free slots.
     async def scenario():
         slot_allocator, _, _ = make_slot_allocator([2.0, None])
         for _ in range(8):
--- a/poplarrelay/entry/tests/test_sizing.py
+++ b/poplarrelay/entry/tests/test_sizing.py
@@ -1,4 +1,4 @@
-"""How many endpoints are ordered, played over waves of reclaims."""
+"""Tests of the number of endpoints that are ordered, also during reclaims."""
 
 from dataclasses import replace
 
@@ -21,13 +21,13 @@
 LIMITS = ScalingLimits(1, 3, 4.0, 0.18, DOMAINS)
 
 
-def rows(reclaimable=(), on_demand=(), leaving=()):
-    made: list[Endpoint] = []
+def make_rows(reclaimable=(), on_demand=(), leaving=()):
+    rows: list[Endpoint] = []
     kinds = [(reclaimable, True), (on_demand, False), (leaving, True)]
     for domains, kind in kinds:
         for domain in domains:
             row = Endpoint(
-                EndpointId(f"e{len(made)}"),
+                EndpointId(f"e{len(rows)}"),
                 ServiceName("s"),
                 ("127.0.0.1", 1),
                 DomainId(domain),
@@ -35,160 +35,177 @@
                 reclaimable=kind,
                 leaving=domains is leaving and bool(leaving),
             )
-            made.append(row)
-    return made
+            rows.append(row)
+    return rows
 
 
 def totals(plan):
     return sum(p.reclaimable for p in plan), sum(p.on_demand for p in plan)
 
 
-def given(present, needed, **values):
+def make_sizing_input(present, needed, **values):
     return SizingInput(LIMITS, present, needed, needed, **values)
 
 
-def test_calm_needs_one_reclaimable_endpoint_a_domain():
-    plan = plan_endpoints(given(rows("abc"), 0.6))
+def test_low_demand_needs_one_reclaimable_endpoint_per_domain():
+    plan = plan_endpoints(make_sizing_input(make_rows("abc"), 0.6))
     assert all((p.reclaimable, p.on_demand) == (1, 0) for p in plan)
 
 
 def test_demand_is_spread_cheapest_domain_first():
-    plan = plan_endpoints(given(rows("abc"), 3.0))
+    plan = plan_endpoints(make_sizing_input(make_rows("abc"), 3.0))
     assert {p.domain: p.reclaimable for p in plan} == {"a": 1, "b": 2, "c": 1}
 
 
 def test_limits_of_a_domain_hold_for_both_kinds_together():
     for exhausted_domains in ((), ("a",), ("a", "b", "c")):
-        for present in (rows("abc", "aab"), rows("aabbcc"), rows("", "aaabbbccc")):
+        for present in (
+            make_rows("abc", "aab"),
+            make_rows("aabbcc"),
+            make_rows("", "aaabbbccc"),
+        ):
             plan = plan_endpoints(
-                given(present, 100.0, exhausted_domains=exhausted_domains)
+                make_sizing_input(present, 100.0, exhausted_domains=exhausted_domains)
             )
             assert all(p.reclaimable + p.on_demand <= LIMITS.most for p in plan)
 
 
-def test_first_endpoints_are_replaced_by_cheaper_ones():
-    # Five on-demand endpoints are there at the start and nobody asks yet. Two stay
-    # until reclaimable ones serve, then none.
-    start = plan_endpoints(given(rows("", "aabbc"), 0.0))
+def test_initial_on_demand_endpoints_are_replaced_by_reclaimable_ones():
+    # Five on-demand endpoints exist at the start, without demand. Two of them are kept
+    # until reclaimable ones serve.
+    start = plan_endpoints(make_sizing_input(make_rows("", "aabbc"), 0.0))
     assert totals(start) == (3, 2)
-    later = plan_endpoints(given(rows("abc", "ab"), 0.0))
+    later = plan_endpoints(make_sizing_input(make_rows("abc", "ab"), 0.0))
     assert totals(later) == (3, 0)
 
 
-def test_endpoints_found_at_the_start_stand_for_a_demand_that_is_not_known():
-    # Six on-demand endpoints are there, no request has come. As many reclaimable
-    # ones are ordered; two on-demand ones stay until those serve.
-    found = plan_endpoints(given(rows("", "aabbcc"), 0.0, least=6))
-    assert totals(found)[0] >= 3
-    served = plan_endpoints(given(rows("aabbcc"), 0.0, least=6))
+def test_initial_endpoint_count_is_kept_while_the_demand_is_unknown():
+    # Guards against the loss of initial capacity before the first request. The six
+    # on-demand endpoints are replaced by six reclaimable ones.
+    limited = plan_endpoints(make_sizing_input(make_rows("", "aabbcc"), 0.0, least=6))
+    assert totals(limited)[0] >= 3
+    served = plan_endpoints(make_sizing_input(make_rows("aabbcc"), 0.0, least=6))
     assert totals(served) == (6, 0)
 
 
-def test_wave_is_replaced_on_demand_while_none_are_to_be_had():
-    # Two of three domains are taken within seconds, and no reclaimable endpoints are
-    # to be had anywhere. With one engine left all callers would be late. The demand
-    # of four engines is known all along: three come at the notice, not when requests
-    # have piled up at the engine that is left.
+def test_reclaimed_endpoints_are_replaced_on_demand_if_all_domains_are_exhausted():
+    # Two of three domains are reclaimed and all are exhausted. The demand needs four
+    # engines; with only one left, all answers would be late. Guards against
+    # replacements that are ordered only when requests accumulate, not at the notice.
     exhausted_domains = ("a", "b", "c")
     lost = plan_endpoints(
-        given(rows("a", "", "bc"), 4.0, exhausted_domains=exhausted_domains)
+        make_sizing_input(
+            make_rows("a", "", "bc"), 4.0, exhausted_domains=exhausted_domains
+        )
     )
     assert totals(lost)[1] == 3
     booted = plan_endpoints(
-        given(rows("a", "bbc"), 4.0, exhausted_domains=exhausted_domains)
+        make_sizing_input(
+            make_rows("a", "bbc"), 4.0, exhausted_domains=exhausted_domains
+        )
     )
     assert totals(booted)[1] == 3
-    back = plan_endpoints(given(rows("abbbcc", "bbc"), 4.0))
+    back = plan_endpoints(make_sizing_input(make_rows("abbbcc", "bbc"), 4.0))
     assert totals(back)[1] == 0
 
 
-def test_wave_is_made_up_for_in_other_domains():
-    # One domain of three is taken. Reclaimable endpoints of the others boot just as
-    # fast as on-demand ones and cost a fraction.
-    plan = plan_endpoints(given(rows("aabb", "", "cc"), 4.0, exhausted_domains=("c",)))
+def test_reclaimed_endpoints_are_replaced_in_other_domains():
+    # One of three domains is reclaimed. Guards against on-demand replacements, since
+    # reclaimable endpoints in other domains boot as fast and cost a fraction.
+    plan = plan_endpoints(
+        make_sizing_input(make_rows("aabb", "", "cc"), 4.0, exhausted_domains=("c",))
+    )
     assert {p.domain: p.reclaimable for p in plan} == {"a": 2, "b": 3, "c": 0}
     assert totals(plan)[1] == 0
 
 
-def test_endpoints_that_do_not_come_are_replaced_on_demand():
-    # Three were ordered in a domain and should serve by now. Perhaps a wave took them
-    # as they booted; nobody says so.
+def test_overdue_reclaimable_endpoints_are_replaced_on_demand():
+    # Guards against counting on endpoints that should already serve. A reclaim can
+    # take booting endpoints without any notice to the nodes.
     booting = {DomainId("a"): 3, DomainId("b"): 1, DomainId("c"): 1}
-    still = plan_endpoints(given(rows("bc"), 4.0, ordered=booting))
+    still = plan_endpoints(make_sizing_input(make_rows("bc"), 4.0, ordered=booting))
     assert totals(still)[1] == 0
     late = plan_endpoints(
-        given(rows("bc"), 4.0, ordered=booting, overdue_domains=("a",))
+        make_sizing_input(make_rows("bc"), 4.0, ordered=booting, overdue_domains=("a",))
     )
     assert totals(late)[1] == 2
 
 
-def test_dear_endpoints_come_for_the_mean_and_not_for_peaks():
-    # Few long prompts make the demand swing. Reclaimable endpoints are had for its
-    # peaks; on-demand ones, paid for their boot at least, for what lasts.
-    calm = SizingInput(LIMITS, rows("a"), 6.0, 3.0, exhausted_domains=tuple(DOMAINS))
+def test_on_demand_endpoints_cover_the_mean_demand_and_not_its_peaks():
+    # A few long prompts make the demand vary. Guards against on-demand endpoints for
+    # short peaks, since each is paid at least for its boot.
+    calm = SizingInput(
+        LIMITS, make_rows("a"), 6.0, 3.0, exhausted_domains=tuple(DOMAINS)
+    )
     assert totals(plan_endpoints(calm))[1] == 2
-    lasting = SizingInput(LIMITS, rows("a"), 6.0, 6.0, exhausted_domains=tuple(DOMAINS))
+    lasting = SizingInput(
+        LIMITS, make_rows("a"), 6.0, 6.0, exhausted_domains=tuple(DOMAINS)
+    )
     assert totals(plan_endpoints(lasting))[1] == 5
 
 
-def test_dear_endpoints_make_up_for_less_than_cheap_ones():
-    # No reclaimable endpoints are to be had, and ten are needed. At the same price
-    # on-demand ones come for all; at many times the price callers wait a little.
+def test_fewer_on_demand_endpoints_are_ordered_if_they_are_more_expensive():
+    # Ten endpoints are needed and none are reclaimable. At the same price on-demand
+    # endpoints replace all; at many times the price callers wait a little longer.
     exhausted_domains = tuple(DOMAINS)
     cheap = ScalingLimits(1, 9, 4.0, 1.0, DOMAINS)
-    dear = ScalingLimits(1, 9, 4.0, 0.0, DOMAINS)
+    expensive = ScalingLimits(1, 9, 4.0, 0.0, DOMAINS)
     counts = [
         totals(
             plan_endpoints(
                 SizingInput(
-                    limits, rows(), 10.0, 10.0, exhausted_domains=exhausted_domains
+                    limits, make_rows(), 10.0, 10.0, exhausted_domains=exhausted_domains
                 )
             )
         )[1]
-        for limits in (cheap, dear)
+        for limits in (cheap, expensive)
     ]
     assert counts == [10, 9]
 
 
-def test_on_demand_endpoints_serve_until_reclaimable_ones_do():
-    # Reclaimable endpoints can be had again and boot. Given up at the order, the
-    # on-demand ones are missed for the seconds of the boot.
+def test_on_demand_endpoints_are_kept_until_reclaimable_ones_serve():
+    # Reclaimable endpoints are available again and boot. Guards against on-demand
+    # endpoints that are released at the order, seconds before the others serve.
     booting = {DomainId("a"): 2, DomainId("b"): 1, DomainId("c"): 1}
-    plan = plan_endpoints(given(rows("a", "bbc"), 4.0, ordered=booting))
+    plan = plan_endpoints(
+        make_sizing_input(make_rows("a", "bbc"), 4.0, ordered=booting)
+    )
     assert totals(plan)[1] == 3
-    serving = plan_endpoints(given(rows("aabc", "bbc"), 4.0))
+    serving = plan_endpoints(make_sizing_input(make_rows("aabc", "bbc"), 4.0))
     assert totals(serving)[1] == 0
 
 
-def test_what_piled_up_orders_nothing():
-    # Requests wait at the engines after a loss. The demand is that of three engines,
-    # and a new endpoint would serve when they are through.
-    piled = rows("abc")
-    for row in piled:
+def test_accumulated_requests_order_no_endpoints():
+    # Requests have accumulated after a loss, and the demand needs three engines. Guards
+    # against orders for requests that end before a new endpoint serves.
+    rows = make_rows("abc")
+    for row in rows:
         row.running = 8
-    plan = plan_endpoints(given(piled, max(3.0, count_for_load(24.0, 64))))
+    plan = plan_endpoints(make_sizing_input(rows, max(3.0, count_for_load(24.0, 64))))
     assert totals(plan) == (4, 0)
 
 
-def test_endpoints_are_not_moved_from_domain_to_domain():
-    # A domain that was dry has endpoints to be had again. What serves elsewhere stays
-    # until those have booted; nobody is without an endpoint meanwhile.
-    plan = plan_endpoints(given(rows("aabb"), 3.0))
+def test_endpoints_are_kept_when_another_domain_becomes_available():
+    # A domain is no longer exhausted. Guards against releasing endpoints that serve in
+    # other domains before the new ones have booted.
+    plan = plan_endpoints(make_sizing_input(make_rows("aabb"), 3.0))
     counts = {p.domain: p.reclaimable for p in plan}
     assert counts == {"a": 2, "b": 2, "c": 1}
-    after = plan_endpoints(given(rows("aabbc"), 3.0))
+    after = plan_endpoints(make_sizing_input(make_rows("aabbc"), 3.0))
     assert totals(after) == (4, 0)
 
 
-def test_what_cannot_be_had_takes_no_room():
-    # At high demand all domains are to be full of reclaimable endpoints, and none are
-    # to be had. The places are free for on-demand ones; planned ones do not count.
+def test_unavailable_reclaimable_endpoints_do_not_use_up_the_domain_limit():
+    # All domains are exhausted at high demand. Guards against planned reclaimable
+    # endpoints that count against the domain's limit and block on-demand ones.
     exhausted_domains = tuple(DOMAINS)
-    plan = plan_endpoints(given(rows("a"), 12.0, exhausted_domains=exhausted_domains))
+    plan = plan_endpoints(
+        make_sizing_input(make_rows("a"), 12.0, exhausted_domains=exhausted_domains)
+    )
     assert totals(plan) == (1, 8)
-    # Those that were ordered before the wave came are not to be had either.
-    lost = given(
-        rows("a"),
+    # Endpoints that were ordered before the reclaim are not available either.
+    lost = make_sizing_input(
+        make_rows("a"),
         12.0,
         exhausted_domains=exhausted_domains,
         ordered=dict.fromkeys(DOMAINS, 3),
@@ -199,36 +216,35 @@
     )
 
 
-def test_endpoints_that_were_given_up_are_no_wave():
-    # The count of two domains is lowered by one each, and what was given up says that
-    # it leaves, as endpoints do that a wave takes. A wave takes all of a domain.
-    lowered = rows("aabbc", "", "ab")
+def test_released_endpoints_do_not_count_as_reclaimed():
+    # Released endpoints leave like reclaimed ones. Guards against taking a lowered
+    # count for a reclaim, which takes all reclaimable endpoints of a domain.
+    lowered = make_rows("aabbc", "", "ab")
     ordered = {DomainId("a"): 2, DomainId("b"): 2, DomainId("c"): 1}
     assert reclaimed_domains(lowered, ordered) == set()
-    assert reclaimed_domains(rows("aab", "", "cc"), ordered) == {"c"}
-    assert reclaimed_domains(rows("aab", "", "cc"), {DomainId("c"): 0}) == set()
-    assert reclaimed_domains(rows("aab", "", "cc"), {DomainId("c"): None}) == {"c"}
+    assert reclaimed_domains(make_rows("aab", "", "cc"), ordered) == {"c"}
+    assert reclaimed_domains(make_rows("aab", "", "cc"), {DomainId("c"): 0}) == set()
+    assert reclaimed_domains(make_rows("aab", "", "cc"), {DomainId("c"): None}) == {"c"}
 
 
 def test_no_on_demand_endpoint_is_added_while_reclaimable_ones_can_be_had():
-    plan = plan_endpoints(given(rows("a"), 6.0))
+    plan = plan_endpoints(make_sizing_input(make_rows("a"), 6.0))
     assert totals(plan)[1] == 0
 
 
-def test_demand_orders_endpoints_before_requests_pile_up():
-    # Traffic has just begun: callers ask for 1.4 million tokens a second, and no
-    # request has been at an engine for long. Sized by the requests there, sixteen
-    # engines were left with three dozen engines' load for the seven seconds that it
-    # took to see it and to boot more; first events took over a second.
+def test_demand_orders_endpoints_before_requests_accumulate():
+    # Callers start to ask for 1.4 million tokens per second. Sized by the requests in
+    # flight, sixteen engines had the load of three dozen for 7 s, until more were
+    # ordered and booted; first events took over a second.
     limits = ScalingLimits(1, 46, 4.0, 0.18, DOMAINS)
     needed = count_needed(1_400_000.0, 60_000.0)
-    early = SizingInput(limits, rows("abc"), needed, needed)
+    early = SizingInput(limits, make_rows("abc"), needed, needed)
     assert totals(plan_endpoints(early))[0] >= 28
-    calm = given(rows("abc"), count_for_load(40.0, 64))
+    calm = make_sizing_input(make_rows("abc"), count_for_load(40.0, 64))
     assert totals(plan_endpoints(calm))[0] < 8
 
 
-def test_quotas_tell_the_size_of_the_load_before_it_comes():
+def test_expected_demand_is_half_of_the_token_quotas():
     tokens = Quota(100_000.0, 1e6, in_tokens=True, default_cost=1.0)
     calls = Quota(500.0, 1e3, in_tokens=False, default_cost=1.0)
     teams = [
@@ -238,7 +254,7 @@
     assert expected_tokens_per_s(teams) == 100_000.0
 
 
-def test_demand_is_that_of_the_last_seconds():
+def test_demand_counts_only_recent_requests():
     meter = DemandMeter()
     for step in range(50):
         meter.note(ServiceName("s"), 900, 100, step * 0.1)
@@ -246,9 +262,9 @@
     assert meter.rates(60.0) == {}
 
 
-def test_prompts_that_engines_keep_are_no_demand():
-    # Callers ask again and again about the same long documents. Engines keep nine
-    # tenths of what is asked, and a tenth of the engines carries it.
+def test_cached_prompt_tokens_do_not_count_as_demand():
+    # Callers repeatedly send the same long documents. Engines have nine tenths of the
+    # prompts cached, and a tenth of the engines is enough.
     meter = DemandMeter()
     for _ in range(400):
         meter.note_unread(ServiceName("s"), 10_000, 1_000)
@@ -258,27 +274,27 @@
 
 
 @pytest.mark.parametrize("speed", [25_000.0, 61_800.0, 110_000.0])
-def test_engines_of_any_speed_are_sized_for_what_they_read(speed):
-    # Customers' engines read from 25,000 to 110,000 tokens a second. Sized for one
-    # speed, the slow ones were in line at twice what they read, and of the fast ones
-    # twice as many were paid for as were needed.
+def test_endpoint_count_follows_the_prefill_speed(speed):
+    # Engines prefill 25,000 to 110,000 tokens per second. With one assumed speed, slow
+    # engines got twice the load that they can prefill, and twice as many fast engines
+    # were paid for as were needed.
     needed = count_needed(158_000.0, speed)
     assert 0.6 <= 158_000.0 / (needed * speed) <= 0.8
 
 
-def test_long_answers_take_slots():
-    # Prompts of a few tokens and answers of a minute: nothing is in line, and the
-    # batches fill up.
+def test_long_answers_are_sized_by_slots():
+    # Short prompts with answers of a minute: no prompts are queued, but the batches
+    # become full.
     assert count_for_load(64.0, 16) == 8.0
 
 
 def test_capacity_lost_to_limits_is_replaced():
     # Guards against counting a limited endpoint at full capacity.
-    found = rows("abc")
-    found[0].limit_per_s = 1.0
-    found[1].limit_per_s = 50.0
-    assert count_lost_to_limits(found, requests_per_s=10.0) == pytest.approx(0.9)
-    needed = 2.0 + count_lost_to_limits(found, requests_per_s=10.0)
-    assert totals(plan_endpoints(given(found, needed)))[0] == 4
-    found[0].leaving = True
-    assert count_lost_to_limits(found, requests_per_s=10.0) == 0.0
+    limited = make_rows("abc")
+    limited[0].limit_per_s = 1.0
+    limited[1].limit_per_s = 50.0
+    assert count_lost_to_limits(limited, requests_per_s=10.0) == pytest.approx(0.9)
+    needed = 2.0 + count_lost_to_limits(limited, requests_per_s=10.0)
+    assert totals(plan_endpoints(make_sizing_input(limited, needed)))[0] == 4
+    limited[0].leaving = True
+    assert count_lost_to_limits(limited, requests_per_s=10.0) == 0.0
--- a/poplarrelay/entry/tests/test_timeouts.py
+++ b/poplarrelay/entry/tests/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts beside a process that does not run for a while."""
+"""Tests of timeouts in a process that is paused for a while."""
 
 import asyncio
 import time
@@ -7,11 +7,11 @@
 
 from poplarrelay.entry.timeouts import CATCH_UP_S, within
 
-STANDSTILL_S = 0.2
+PAUSE_S = 0.2
 
 
-def test_answer_that_came_in_a_standstill_is_taken():
-    # Guards against answers given up although they lie in the socket.
+def test_answer_received_during_a_pause_is_returned():
+    # Guards against timeouts that discard an answer that is already in the socket.
     async def answer(reader):
         return await reader.readexactly(2) + await reader.readexactly(2)
 
@@ -35,32 +35,32 @@
             await asyncio.sleep(0)
             writer.write(b"?")
             await arrived.wait()
-            time.sleep(STANDSTILL_S)
+            time.sleep(PAUSE_S)
             assert await waiting == b"abcd"
             writer.close()
 
     asyncio.run(scenario())
 
 
-def test_timeout_expires_without_a_standstill():
+def test_timeout_expires_without_a_pause():
     async def scenario():
-        began = time.monotonic()
+        started_at = time.monotonic()
         with pytest.raises(TimeoutError):
             await within(0.05, asyncio.sleep(30))
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     assert 0.05 <= asyncio.run(scenario()) < 5
 
 
-def test_timeout_expires_soon_after_a_standstill():
+def test_timeout_expires_soon_after_a_pause():
     async def scenario():
         waiting = asyncio.create_task(within(0.1, asyncio.sleep(30)))
         await asyncio.sleep(0)
-        time.sleep(STANDSTILL_S)
-        began = time.monotonic()
+        time.sleep(PAUSE_S)
+        started_at = time.monotonic()
         with pytest.raises(TimeoutError):
             await waiting
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     assert asyncio.run(scenario()) >= CATCH_UP_S
 
--- a/poplarrelay/entry/timeouts.py
+++ b/poplarrelay/entry/timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts that do not expire by the process's own standstill."""
+"""Timeouts that do not expire only because the process itself was paused."""
 
 from __future__ import annotations
 
@@ -8,40 +8,41 @@
 
 __all__ = ["within"]
 
-#: Seconds at the end of a timeout, or after a standstill that lasts longer, in which
-#: what has arrived is read.
+#: Length in seconds of the last part of a timeout. After a longer pause of the process,
+#: data that has arrived is read in this time.
 CATCH_UP_S = 0.01
 
 ResultT = TypeVar("ResultT")
 
 
 async def within(timeout_s: float, awaitable: Awaitable[ResultT]) -> ResultT:
-    """Return what an awaitable comes to, or cancel it after a time.
+    """Return the result of an awaitable, or cancel it after a timeout.
 
     Parameters
     ----------
     timeout_s : float
-        Seconds to wait.
+        Timeout in seconds.
     awaitable : awaitable
-        What to wait for.
+        Awaitable to wait for.
 
     Raises
     ------
     TimeoutError
-        If it takes longer.
+        If there is no result within the timeout.
 
     Notes
     -----
-    After a standstill the event loop runs due timers before the callbacks that follow
-    from what lies in its sockets, so `asyncio.timeout` gives up answers that are there
-    already. So the last part of the time begins only when the process runs.
+    After a pause of the process, the event loop runs the due timers before all
+    callbacks for data in its sockets have run. `asyncio.timeout` then discards answers
+    that have already arrived. Here the last part of the timeout starts only when the
+    process runs again.
     """
     future = asyncio.ensure_future(awaitable)
-    last_s = min(CATCH_UP_S, timeout_s)
+    final_s = min(CATCH_UP_S, timeout_s)
     try:
-        await asyncio.wait([future], timeout=timeout_s - last_s)
+        await asyncio.wait([future], timeout=timeout_s - final_s)
         if not future.done():
-            await asyncio.wait([future], timeout=last_s)
+            await asyncio.wait([future], timeout=final_s)
         if future.done():
             return future.result()
         raise TimeoutError(f"no result within {timeout_s} s")
