--- a/poplarrelay/entry/quotas.py
+++ b/poplarrelay/entry/quotas.py
@@ -62,7 +62,8 @@
     Attributes
     ----------
     total : float
-        Usage since that node's process started.
+        Usage since that node's process started, or since the cell's representative
+        started to count.
     last_seen_at : float
         Monotonic time of the last report.
     refilled_to : float
@@ -225,7 +226,7 @@
         return None
 
     def give_back(self, cost: float) -> None:
-        """Return the cost of a request that did not run."""
+        """Refund the cost of a request that did not run."""
         self.level += cost
         self.spent -= cost
 
--- a/poplarrelay/entry/tests/test_quotas.py
+++ b/poplarrelay/entry/tests/test_quotas.py
@@ -68,8 +68,8 @@
 
 
 def test_partitioned_groups_stay_within_one_quota_together():
-    # Guards against partitioned groups that each admit the full quota. Callers flood
-    # a group of two nodes and a group of four that cannot reach each other.
+    # Guards against partitioned groups that each admit the full quota, twice as much
+    # together. Callers flood groups of two and four nodes that cannot reach each other.
     nodes = Nodes(6)
     together = [range(6)]
     apart = [range(2), range(2, 6)]
--- a/poplarrelay/entry/tests/test_sizing.py
+++ b/poplarrelay/entry/tests/test_sizing.py
@@ -80,10 +80,11 @@
 
 
 def test_initial_endpoint_count_is_kept_while_the_demand_is_unknown():
-    # Guards against the loss of initial capacity before the first request. The six
-    # on-demand endpoints are replaced by six reclaimable ones.
-    limited = plan_endpoints(make_sizing_input(make_rows("", "aabbcc"), 0.0, least=6))
-    assert totals(limited)[0] >= 3
+    # Guards against the loss of initial capacity before the first request. As many
+    # reclaimable endpoints are ordered as the six on-demand ones, two of which are kept
+    # until the others serve.
+    initial = plan_endpoints(make_sizing_input(make_rows("", "aabbcc"), 0.0, least=6))
+    assert totals(initial)[0] >= 3
     served = plan_endpoints(make_sizing_input(make_rows("aabbcc"), 0.0, least=6))
     assert totals(served) == (6, 0)
 
@@ -120,8 +121,8 @@
 
 
 def test_overdue_reclaimable_endpoints_are_replaced_on_demand():
-    # Guards against counting on endpoints that should already serve. A reclaim can
-    # take booting endpoints without any notice to the nodes.
+    # Guards against counting on three ordered endpoints that should already serve. A
+    # reclaim can take booting endpoints without any notice to the nodes.
     booting = {DomainId("a"): 3, DomainId("b"): 1, DomainId("c"): 1}
     still = plan_endpoints(make_sizing_input(make_rows("bc"), 4.0, ordered=booting))
     assert totals(still)[1] == 0
