--- a/bench/entry_safeguards.py
+++ b/bench/entry_safeguards.py
@@ -238,7 +238,7 @@
         f"{ENTRY}/charging.py",
         "            context.quota_cost = cost\n",
         "            pass\n        context.quota_cost = cost\n"
-        "        if over is None:\n",
+        "        if over_quota is None:\n",
         "test_calls.py",
     ),
     Safeguard(
@@ -258,7 +258,7 @@
     Safeguard(
         "wait for the node's own last act",
         f"{ENTRY}/duty_lease.py",
-        "            and now >= self.clear_at\n",
+        "            and now >= self.earliest_action_at\n",
         "",
         "test_duties.py test_duties_machine.py",
     ),
@@ -475,8 +475,9 @@
     Safeguard(
         "not all nodes look at all endpoints",
         f"{ENTRY}/choosing.py",
-        "    return [*homes, *rng.sample(others, min(DRAWN, len(others)))]\n",
-        "    return [*homes, *others]\n",
+        "    return [*affinity_endpoints, "
+        "*rng.sample(others, min(SAMPLE_SIZE, len(others)))]\n",
+        "    return [*affinity_endpoints, *others]\n",
         "test_decisions.py",
     ),
     Safeguard(
@@ -503,7 +504,7 @@
     Safeguard(
         "prompts of nodes that are gone leave the line",
         f"{ENTRY}/backlogs.py",
-        "            if now - prompt.placed_at > FORGET_S:\n",
+        "            if now - prompt.placed_at > PROMPT_EXPIRY_S:\n",
         "            if False:\n",
         "test_backlogs.py",
     ),
--- a/poplarrelay/entry/admission.py
+++ b/poplarrelay/entry/admission.py
@@ -1,4 +1,4 @@
-"""Whether a prompt is sent to an engine where others are in line before it."""
+"""Decide whether a prompt is sent to an engine that has prompts queued."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 __all__ = ["FirstEventForecast", "retry_after_queue", "starts_in_time"]
 
-#: Part of its target for which a prompt may wait in line however long its own reading
-#: takes. Without it the longest prompts, which are late wherever they go, would never
-#: be served.
-LEAST_LINE = 0.3
-#: Part of the target by which the forecast may be exceeded: engines read long prompts
-#: more slowly by the token, and a first event takes a step besides.
-MARGIN = 0.1
+#: Share of the target for which a prompt can always wait in the queue, however long
+#: its own prefill takes. Without it, the longest prompts would never be served, since
+#: they are late at every engine.
+MIN_QUEUE_SHARE = 0.3
+#: Share of the target by which a forecast can exceed it. Engines need more time per
+#: token for long prompts, and a first event takes one more step of the engine.
+FORECAST_MARGIN = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class FirstEventForecast:
-    """When a prompt's first event is due.
+    """Forecast of the time to a prompt's first event at an engine.
 
     Attributes
     ----------
     waited_s : float
         Seconds since the request arrived.
     queue_s : float
-        Seconds for which the engine reads other prompts before it.
+        Seconds that the engine needs for the prompts queued before this one.
     prefill_s : float
-        Seconds for which it reads this one.
+        Seconds that the engine needs for the prefill of this prompt.
     target_s : float
-        Time from its arrival within which its caller wants the first event.
+        Latency target: seconds from the request's arrival to its first event.
     """
 
     waited_s: float
@@ -38,25 +38,27 @@
 
     @property
     def max_queue_s(self) -> float:
-        """Return the longest line in which it may stand."""
-        in_time_s = (1 + MARGIN) * self.target_s - self.waited_s - self.prefill_s
-        return max(in_time_s, LEAST_LINE * self.target_s)
+        """Return the longest queue, in seconds, that the prompt can join."""
+        in_time_s = (
+            (1 + FORECAST_MARGIN) * self.target_s - self.waited_s - self.prefill_s
+        )
+        return max(in_time_s, MIN_QUEUE_SHARE * self.target_s)
 
 
 def starts_in_time(forecast: FirstEventForecast) -> bool:
-    """Return whether a prompt is sent where its first event is due first.
+    """Return whether a prompt is sent to the engine that the forecast is for.
 
     Notes
     -----
-    It answers more work than the engines read, after the loss of most of them. An
-    engine takes many more prompts than it can begin in time, and then all are late,
-    those that their callers no longer wait for included. Where a prompt whose first
-    event would be late is refused, the others are in time, and its caller knows at
-    once when to come back.
+    This limits the queues when callers send more work than the engines can process,
+    for example after the loss of most engines. An engine accepts many more prompts
+    than it can start in time. All of them are late then, also those whose callers no
+    longer wait. If prompts whose first event would be late are refused, the other
+    prompts are in time, and the refused callers learn at once when to retry.
     """
     return forecast.queue_s <= forecast.max_queue_s
 
 
 def retry_after_queue(forecast: FirstEventForecast) -> float:
-    """Return the seconds after which a refused prompt would find its line short."""
+    """Return the seconds after which the queue is short enough for a refused prompt."""
     return max(0.0, forecast.queue_s - forecast.max_queue_s) + forecast.prefill_s
--- a/poplarrelay/entry/backlogs.py
+++ b/poplarrelay/entry/backlogs.py
@@ -1,4 +1,4 @@
-"""Prompts in line at engines, as one node keeps count of them for all."""
+"""Queued prompts at engines, counted by one coordinator node per engine."""
 
 from __future__ import annotations
 
@@ -21,31 +21,33 @@
     "PromptEnd",
 ]
 
-#: First events over which an engine's speed is taken, and those needed to know it. A
-#: freeze or a grey moment spoils some of them, which the median leaves out.
-SPEED_SAMPLES = 15
-LEAST_SAMPLES = 3
-#: Prompt tokens of work below which the time to a first event tells more of the path
-#: and of the batch than of the engine's speed.
-LEAST_WORK = 1_000
-#: Speeds in tokens a second beyond which a sample is absurd: a clock that stood still,
-#: or a prompt that was kept after all.
-LEAST_SPEED, MOST_SPEED = 500.0, 2_000_000.0
-#: Seconds after which a prompt whose node has said nothing more is taken out of line:
-#: callers of streams leave sooner than that.
-FORGET_S = 6.0
-#: Seconds for which nobody goes to an engine that one node has found gone, unless no
-#: other has room. Then one caller's request finds out; the list of endpoints mostly
-#: tells before.
+#: First events from which an engine's prefill speed is computed: at most and at least.
+#: The speed is their median, so a few outliers, such as after a pause of the process,
+#: have no effect.
+MAX_SPEED_SAMPLES = 15
+MIN_SPEED_SAMPLES = 3
+#: Prompt tokens below which a sample is ignored: the network and the other requests in
+#: the batch then determine the time to a first event more than the engine's speed.
+MIN_SAMPLE_TOKENS = 1_000
+#: Range of plausible speeds, in tokens per second. Samples outside it come from a clock
+#: that stood still or from a prompt that was cached although it counted as uncached.
+MIN_SPEED, MAX_SPEED = 500.0, 2_000_000.0
+#: Seconds after which a prompt is removed from the queue if its node has not reported
+#: its end. Callers of streams stop waiting sooner than that.
+PROMPT_EXPIRY_S = 6.0
+#: Seconds for which no node uses an engine that one node has found gone, unless no
+#: other engine has free slots. After that time, a caller's request tries the engine
+#: again. The list of endpoints usually shows the loss before.
 DOWN_S = 1.5
-#: Prompt tokens placed at an engine since a part's last use after which the part is
-#: taken for evicted. Engines' memories differ and none is told; taking a part for kept
-#: costs its reading, taking it for evicted costs a copy of it elsewhere.
-KEPT_TOKENS = 400_000
+#: A shared part counts as evicted when this many prompt tokens have been placed at the
+#: engine since its last use. Engines have caches of different sizes and do not report
+#: them. If an evicted part counts as cached, its prefill is repeated. If a cached part
+#: counts as evicted, another engine gets a copy of it.
+EVICTION_TOKENS = 400_000
 
 
 class PromptEnd(Enum):
-    """Why a prompt is no longer in line."""
+    """Reason why a prompt is no longer queued."""
 
     BEGAN = "began"
     NOT_BEGUN = "not begun"
@@ -59,51 +61,52 @@
     Attributes
     ----------
     tokens : int
-        What of it the engine has to read.
+        Uncached tokens of the prompt.
     parts : tuple of str
-        Ids of its parts that others may share, in order.
-    whole_tokens : int
-        Its length.
+        Ids of the parts that other prompts can share, in order.
+    prompt_tokens : int
+        Length of the prompt in tokens.
     """
 
     endpoint: EndpointId
     request: RequestId
     tokens: int
     parts: tuple[str, ...] = ()
-    whole_tokens: int = 0
+    prompt_tokens: int = 0
 
     def encode(self) -> list[Any]:
-        """Return a form for JSON."""
+        """Return the placement as a list of JSON values."""
         parts = list(self.parts)
-        return [self.endpoint, self.request, self.tokens, parts, self.whole_tokens]
+        return [self.endpoint, self.request, self.tokens, parts, self.prompt_tokens]
 
     @classmethod
     def decode(cls, raw: Sequence[Any]) -> Placement:
-        """Return the placement that a form for JSON holds; raises `ValueError`."""
-        endpoint, request, tokens, parts, whole_tokens = raw
+        """Return the placement from its JSON values; raises `ValueError`."""
+        endpoint, request, tokens, parts, prompt_tokens = raw
         return cls(
             EndpointId(str(endpoint)),
             RequestId(str(request)),
             max(0, int(tokens)),
             tuple(str(part) for part in parts),
-            max(0, int(whole_tokens)),
+            max(0, int(prompt_tokens)),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class BacklogView:
-    """What is in line at an engine, for one node that asks.
+    """State of an engine's queue, as sent to one node on request.
 
     Attributes
     ----------
     tokens : int
-        Prompt tokens of other nodes that the engine has to read first.
+        Queued prompt tokens of nodes other than the requesting one.
     speed : float
-        Prompt tokens that it reads in a second; 0 if that is not known.
+        Prefill speed of the engine in tokens per second; 0 if it is not known.
     cached_parts : int
-        How many of the prompt's shared parts, from the first on, it keeps.
+        Number of the prompt's shared parts, counted from the first, that the engine
+        has cached.
     down : bool
-        Whether a node has lately found it gone.
+        Whether a node has found the engine gone within the last `DOWN_S` seconds.
     """
 
     endpoint: EndpointId
@@ -113,12 +116,12 @@
     down: bool = False
 
     def encode(self) -> list[Any]:
-        """Return a form for JSON."""
+        """Return the view as a list of JSON values."""
         return [self.endpoint, self.tokens, self.speed, self.cached_parts, self.down]
 
     @classmethod
     def decode(cls, raw: Sequence[Any]) -> BacklogView:
-        """Return the view that a form for JSON holds; raises `ValueError`."""
+        """Return the view from its JSON values; raises `ValueError`."""
         endpoint, tokens, speed, cached_parts, down = raw
         return cls(
             EndpointId(str(endpoint)),
@@ -129,136 +132,185 @@
         )
 
     def cached_tokens_at(self, prefix: Sequence[PromptPart]) -> int:
-        """Return how much of a prompt's shared parts the engine keeps."""
+        """Return the number of cached tokens among a prompt's shared parts."""
         return sum(part.tokens for part in prefix[:-1][: self.cached_parts])
 
 
 @dataclass(slots=True)
 class PrefillSpeed:
-    """Prompt tokens a second that an engine reads, from its first events."""
+    """Prefill speed of an engine, measured by the times to first events.
 
-    samples: deque[float] = field(default_factory=lambda: deque(maxlen=SPEED_SAMPLES))
+    Attributes
+    ----------
+    samples : deque of float
+        The last measured speeds in tokens per second.
+    """
 
-    def note(self, work: float, took_s: float) -> None:
-        """Note the tokens up to a first event, and the time that it took."""
-        if work < LEAST_WORK or took_s <= 0:
+    samples: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_SPEED_SAMPLES)
+    )
+
+    def note(self, tokens_to_first_event: float, took_s: float) -> None:
+        """Add a sample: the tokens processed up to a first event, and the time taken.
+
+        Parameters
+        ----------
+        tokens_to_first_event : float
+            Prompt tokens processed from the sending of a prompt to its first event.
+        took_s : float
+            Seconds from the sending of the prompt to its first event.
+        """
+        if tokens_to_first_event < MIN_SAMPLE_TOKENS or took_s <= 0:
             return
-        speed = work / took_s
-        if LEAST_SPEED <= speed <= MOST_SPEED:
+        speed = tokens_to_first_event / took_s
+        if MIN_SPEED <= speed <= MAX_SPEED:
             self.samples.append(speed)
 
     @property
     def tokens_per_s(self) -> float:
-        """Return the speed, 0 before it is known."""
-        return median(self.samples) if len(self.samples) >= LEAST_SAMPLES else 0.0
+        """Return the speed, 0 if there are too few samples."""
+        return median(self.samples) if len(self.samples) >= MIN_SPEED_SAMPLES else 0.0
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A prompt in line; `work` are the tokens up to its first event."""
+class _QueuedPrompt:
+    """A queued prompt.
+
+    Attributes
+    ----------
+    node : str
+        The node that placed the prompt.
+    tokens : int
+        Uncached tokens of the prompt.
+    tokens_to_first_event : float
+        Tokens to process before the prompt's first event: its own uncached tokens and
+        those queued before it.
+    placed_at : float
+        Monotonic time of the placement.
+    """
 
     node: str
     tokens: int
-    work: float
+    tokens_to_first_event: float
     placed_at: float
 
 
 @dataclass(slots=True)
 class Backlog:
-    """The prompts in line at one engine.
+    """The queued prompts of one engine.
 
     Attributes
     ----------
     down_until : float
         Monotonic time until which the engine counts as gone.
+    _queue : dict of RequestId to _QueuedPrompt
+        The queued prompts in the order of their placement.
+    _prefill_began_at : float
+        Monotonic time at which the prefill of the first queued prompt began.
+    _part_last_used : dict of str to int
+        Value of `_placed_tokens` at the last use of each shared part.
+    _placed_tokens : int
+        Total length of all prompts that have been placed at the engine.
     """
 
     speed: PrefillSpeed = field(default_factory=PrefillSpeed)
     down_until: float = 0.0
-    _waiting: dict[RequestId, _Waiting] = field(default_factory=dict)
-    _first_since: float = 0.0
-    _parts: dict[str, int] = field(default_factory=dict)
+    _queue: dict[RequestId, _QueuedPrompt] = field(default_factory=dict)
+    _prefill_began_at: float = 0.0
+    _part_last_used: dict[str, int] = field(default_factory=dict)
     _placed_tokens: int = 0
 
-    def tokens(self, now: float, but_node: str = "") -> float:
-        """Return the tokens in line, less what is read of the first prompt."""
+    def tokens(self, now: float, excluded_node: str = "") -> float:
+        """Return the queued tokens without the processed ones of the first prompt.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time.
+        excluded_node : str
+            Node whose prompts are not counted.
+        """
         total = 0.0
-        for index, prompt in enumerate(self._waiting.values()):
-            if prompt.node == but_node:
+        for index, prompt in enumerate(self._queue.values()):
+            if prompt.node == excluded_node:
                 continue
-            left = float(prompt.tokens)
+            remaining = float(prompt.tokens)
             if index == 0:
-                read = self.speed.tokens_per_s * (now - self._first_since)
-                left = max(0.0, left - read)
-            total += left
+                processed = self.speed.tokens_per_s * (now - self._prefill_began_at)
+                remaining = max(0.0, remaining - processed)
+            total += remaining
         return total
 
-    def add_prompt(self, node: str, placed: Placement, now: float) -> None:
-        """Add a prompt to the line."""
+    def add_prompt(self, node: str, placement: Placement, now: float) -> None:
+        """Add a prompt to the queue."""
         self._drop_stale(now)
-        if not self._waiting:
-            self._first_since = now
-        work = self.tokens(now) + placed.tokens
-        self._waiting[placed.request] = _Waiting(node, placed.tokens, work, now)
-        self._placed_tokens += placed.whole_tokens
-        for part in placed.parts:
-            self._parts[part] = self._placed_tokens
+        if not self._queue:
+            self._prefill_began_at = now
+        tokens_to_first_event = self.tokens(now) + placement.tokens
+        self._queue[placement.request] = _QueuedPrompt(
+            node, placement.tokens, tokens_to_first_event, now
+        )
+        self._placed_tokens += placement.prompt_tokens
+        for part in placement.parts:
+            self._part_last_used[part] = self._placed_tokens
 
     def remove_prompt(self, request: RequestId, end: PromptEnd, now: float) -> None:
-        """Take a prompt out of line, and learn from what became of it."""
+        """Remove a prompt and update the engine's speed and its `down_until`."""
         if end is PromptEnd.ENGINE_GONE:
             self.down_until = now + DOWN_S
-        first = next(iter(self._waiting), None)
-        prompt = self._waiting.pop(request, None)
+        first = next(iter(self._queue), None)
+        prompt = self._queue.pop(request, None)
         if prompt is None:
             return
         if request == first:
-            self._first_since = now
+            self._prefill_began_at = now
         if end is PromptEnd.BEGAN:
             self.down_until = 0.0
-            self.speed.note(prompt.work, now - prompt.placed_at)
+            self.speed.note(prompt.tokens_to_first_event, now - prompt.placed_at)
 
     def _drop_stale(self, now: float) -> None:
-        for request, prompt in list(self._waiting.items()):
-            if now - prompt.placed_at > FORGET_S:
+        for request, prompt in list(self._queue.items()):
+            if now - prompt.placed_at > PROMPT_EXPIRY_S:
                 self.remove_prompt(request, PromptEnd.NOT_BEGUN, now)
 
     def count_cached(self, parts: Iterable[str]) -> int:
-        """Return how many of a prompt's shared parts are kept, from the first on."""
-        oldest = self._placed_tokens - KEPT_TOKENS
+        """Return how many shared parts, counted from the first, are cached."""
+        oldest = self._placed_tokens - EVICTION_TOKENS
         cached = 0
         for part in parts:
-            used = self._parts.get(part)
-            if used is None or used < oldest:
+            last_used = self._part_last_used.get(part)
+            if last_used is None or last_used < oldest:
                 break
             cached += 1
         return cached
 
     def forget(self, now: float) -> None:
-        """Drop prompts that nobody tells of any more, and parts taken for evicted."""
+        """Drop prompts that have expired and parts that count as evicted."""
         self._drop_stale(now)
-        oldest = self._placed_tokens - KEPT_TOKENS
-        self._parts = {
-            part: used for part, used in self._parts.items() if used > oldest
+        oldest = self._placed_tokens - EVICTION_TOKENS
+        self._part_last_used = {
+            part: last_used
+            for part, last_used in self._part_last_used.items()
+            if last_used > oldest
         }
 
 
 @dataclass(slots=True)
 class BacklogTable:
-    """The lines at the engines that this node keeps count of."""
+    """The queues of the engines that this node coordinates."""
 
     backlogs: dict[EndpointId, Backlog] = field(default_factory=dict)
 
-    def add_prompt(self, node: str, placed: Placement, now: float) -> None:
-        """Add a node's prompt to an engine's line."""
-        self.backlogs.setdefault(placed.endpoint, Backlog()).add_prompt(
-            node, placed, now
+    def add_prompt(self, node: str, placement: Placement, now: float) -> None:
+        """Add a node's prompt to an engine's queue."""
+        self.backlogs.setdefault(placement.endpoint, Backlog()).add_prompt(
+            node, placement, now
         )
 
     def remove_prompt(
         self, endpoint: EndpointId, request: RequestId, end: PromptEnd, now: float
     ) -> None:
-        """Take a prompt out of an engine's line."""
+        """Remove a prompt from an engine's queue."""
         backlog = self.backlogs.get(endpoint)
         if backlog is not None:
             backlog.remove_prompt(request, end, now)
@@ -266,20 +318,32 @@
     def view(
         self, node: str, endpoint: EndpointId, parts: Sequence[str], now: float
     ) -> BacklogView:
-        """Return an engine's line as a node that asks needs it."""
+        """Return the state of an engine's queue for a requesting node.
+
+        Parameters
+        ----------
+        node : str
+            The requesting node. It counts its own prompts, so they are left out.
+        endpoint : EndpointId
+            The engine.
+        parts : sequence of str
+            Ids of the shared parts of the prompt to be placed, in order.
+        now : float
+            Monotonic time.
+        """
         backlog = self.backlogs.get(endpoint)
         if backlog is None:
             return BacklogView(endpoint, 0, 0.0, 0)
         return BacklogView(
             endpoint,
-            round(backlog.tokens(now, but_node=node)),
+            round(backlog.tokens(now, excluded_node=node)),
             round(backlog.speed.tokens_per_s),
             backlog.count_cached(parts),
             now < backlog.down_until,
         )
 
     def forget(self, known: Iterable[EndpointId], now: float) -> None:
-        """Drop the lines of endpoints that are gone, and what is too old elsewhere."""
+        """Drop queues of unlisted endpoints, and old entries of the other queues."""
         listed = set(known)
         for endpoint in [e for e in self.backlogs if e not in listed]:
             del self.backlogs[endpoint]
--- a/poplarrelay/entry/budgets.py
+++ b/poplarrelay/entry/budgets.py
@@ -1,4 +1,4 @@
-"""Shared budget for sending a request to a second endpoint."""
+"""Retry budget of a service: how often requests are sent to another endpoint."""
 
 from __future__ import annotations
 
@@ -7,30 +7,33 @@
 
 __all__ = ["RetryBudget"]
 
-#: Part of the bounds that is used. The rest covers sends whose answers a bound's
-#: window counts differently, as its edges slide.
+#: Share of the budget that is used. The rest covers requests and retries that an
+#: observer counts in a different window, since the windows slide.
 SAFE_SHARE = 0.8
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """A node's part of a service's retry budget.
+    """One node's part of a service's retry budget.
 
     Attributes
     ----------
     ratio : float
-        Retries allowed for each request.
+        Retries allowed per request.
     slack : float
-        Retries allowed besides, by all nodes together in one window.
+        Additional retries of all nodes together in one window.
     window_s : float
-        Length of the window.
+        Length of the sliding window in seconds.
+    requests, retries : deque of float
+        Monotonic times of the requests and retries in the window.
 
     Notes
     -----
-    The budget is divided instead of shared: each node keeps to the ratio of its own
-    requests and to an equal part of the slack. So it holds also while the nodes
-    cannot talk to each other, as long as each counts no fewer nodes than there are;
-    the largest number lately seen is used. Costs one comparison a send.
+    The budget is divided among the nodes: each node applies the ratio to its own
+    requests and uses an equal part of the slack. The bound therefore also holds while
+    nodes cannot reach each other, if no node counts fewer nodes than exist. For this
+    reason, callers of `take` pass the largest number of nodes seen recently. A retry
+    costs one comparison.
     """
 
     ratio: float
@@ -40,20 +43,20 @@
     retries: deque[float] = field(default_factory=deque)
 
     def note_request(self, now: float) -> None:
-        """Note a request that callers sent for the service."""
+        """Count a caller's request for the service."""
         self.requests.append(now)
 
     def take(self, now: float, nodes: int) -> bool:
-        """Take one retry, and return whether there was one left.
+        """Use one retry if the budget allows it, and return whether it does.
 
         Parameters
         ----------
         now : float
             Monotonic time.
         nodes : int
-            Nodes that share the budget.
+            Number of nodes that the slack is divided among.
         """
-        self._forget(now)
+        self._drop_old(now)
         allowed = SAFE_SHARE * (
             self.ratio * len(self.requests) + self.slack / max(1, nodes)
         )
@@ -62,8 +65,8 @@
         self.retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        start = now - self.window_s
+    def _drop_old(self, now: float) -> None:
+        window_start = now - self.window_s
         for times in (self.requests, self.retries):
-            while times and times[0] < start:
+            while times and times[0] < window_start:
                 times.popleft()
--- a/poplarrelay/entry/charging.py
+++ b/poplarrelay/entry/charging.py
@@ -1,4 +1,4 @@
-"""Taking requests from their teams' quotas."""
+"""Charge requests to the quotas of their teams."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 __all__ = ["QuotaCharges"]
 
-#: Part of the quotas' tolerance, divided by the nodes, that may be used of a tight
-#: bucket before the others are told: the untold use of all nodes together stays
-#: within a quarter of what operators tolerate.
-UNTOLD_SHARE = 0.25
-#: Part of the quotas' tolerance that covers wrong guesses of the others' use.
-TOLERANCE_SHARE = 0.25
-#: Part of the tolerated overrun by which buckets refill faster. What nodes guess too
-#: high of each other's use would otherwise refuse requests that are within the quota.
+#: Share of `quota_slack` that all nodes together can use of a bucket with a low level
+#: before they report the usage. Each node gets an equal part of it. The unreported
+#: usage of all nodes then stays within a quarter of the slack that operators tolerate.
+UNREPORTED_SHARE = 0.25
+#: Share of `quota_slack` that covers errors in the estimated usage of other nodes.
+ESTIMATE_ERROR_SHARE = 0.25
+#: Share of `quota_overrun` by which buckets refill faster. Otherwise, when nodes
+#: estimate each other's usage too high, they refuse requests within the quota.
 OVERRUN_SHARE = 0.5
 
 
 class QuotaCharges:
-    """Charges requests to their teams' quotas.
+    """Charges requests to the quotas of their teams.
 
     Parameters
     ----------
     state : EntryState
         The node's tables.
     announce : callable
-        Tells all peers this node's row soon, out of turn.
+        Sends this node's row to all peers before the next gossip round.
     """
 
     def __init__(self, state: EntryState, announce: Callable[[], None]) -> None:
@@ -39,7 +39,13 @@
         self._announce = announce
 
     def charge(self, context: RequestContext) -> Refusal | None:
-        """Take a request's cost from its team's quota, or refuse it."""
+        """Take a request's cost from its team's quota.
+
+        Returns
+        -------
+        Refusal or None
+            The refusal if the quota is used up, otherwise None.
+        """
         team = context.team
         if team is None or team.quota is None:
             return None
@@ -48,35 +54,35 @@
         assert bucket is not None
         bounds = self._state.settings.bounds
         cost = request_cost(team.quota, context.request)
-        over = bucket.take(
+        over_quota = bucket.take(
             raise_refill(team.quota, OVERRUN_SHARE * bounds.quota_overrun),
             cost,
             now,
             self._state.total_nodes,
-            TOLERANCE_SHARE * bounds.quota_slack,
+            ESTIMATE_ERROR_SHARE * bounds.quota_slack,
         )
         context.quota_left = bucket.level
-        if over is None:
+        if over_quota is None:
             context.quota_cost = cost
             if bucket.tight(team.quota):
-                self._tell_use(bucket)
+                self._announce_usage(bucket)
             return None
         return Refusal(
             429,
             RefusalReason.OVER_QUOTA,
-            over.retry_after_s,
+            over_quota.retry_after_s,
             f"left {bucket.level:.0f}, cost {cost:.0f}",
         )
 
-    def _tell_use(self, bucket: Bucket) -> None:
-        """Tell the other nodes at once once untold use matters."""
+    def _announce_usage(self, bucket: Bucket) -> None:
+        """Announce this node's row if its unreported usage has become too large."""
         bounds = self._state.settings.bounds
-        untold = bucket.spent - bucket.told
-        if untold > UNTOLD_SHARE * bounds.quota_slack / self._state.total_nodes:
+        unreported = bucket.spent - bucket.told
+        if unreported > UNREPORTED_SHARE * bounds.quota_slack / self._state.total_nodes:
             self._announce()
 
     def refund(self, context: RequestContext) -> None:
-        """Give back what a request that did not run has taken from its quota."""
+        """Return the cost of a request that did not run to its team's quota."""
         if context.team is None or context.quota_cost == 0:
             return
         bucket = self._state.bucket(context.team, monotonic())
--- a/poplarrelay/entry/choosing.py
+++ b/poplarrelay/entry/choosing.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request."""
+"""Choose the endpoint that a request is sent to."""
 
 from __future__ import annotations
 
@@ -23,39 +23,43 @@
     "sample_candidates",
 ]
 
-#: Prompt tokens that count like one request already at an engine: each request in its
-#: batch makes every step of a prompt's reading a little longer.
+#: Prompt tokens that have the same weight as one request running at an engine. Each
+#: request in the engine's batch lengthens every step of a prefill.
 TOKENS_PER_REQUEST = 500
-#: Prompt tokens a second that an engine is taken to read while no first event of any
-#: of its service's engines has shown it: the slower ones of today's large engines.
-FIRST_SPEED = 45_000.0
-#: Endpoints that rendezvous hashing names for a prompt's shared part. Only the first
-#: is sure to hold it; the second is where all nodes look when that one is busy, so
-#: the part is read again at one endpoint instead of anywhere.
-HOMES = 2
-#: Endpoints drawn at random besides. Nodes hear of each other's requests a second
-#: late: when each of 61 nodes took the least loaded of all endpoints, the busiest one
-#: got 13 times the requests of the least busy one in the same second.
-DRAWN = 3
-#: Smallest time assumed for a first answer, in seconds, so that an endpoint without
-#: a measurement is not taken for infinitely fast.
-LEAST_ANSWER_S = 0.005
-#: Part of its reading that fetching a shared part from another engine takes.
+#: Assumed prefill speed in tokens per second, used until first events of the service's
+#: engines have shown the real one. It is the speed of the slower ones among current
+#: large engines.
+DEFAULT_PREFILL_SPEED = 45_000.0
+#: Endpoints that rendezvous hashing picks for a prompt's shared part. Only the first
+#: is sure to have the part cached. All nodes consider the same second one when the
+#: first is busy, so the prefill of the part is repeated at one endpoint only.
+AFFINITY_ENDPOINTS = 2
+#: Additional candidates, drawn at random. Nodes receive the load of each other's
+#: requests a second late: when each of 61 nodes took the least loaded of all
+#: endpoints, the busiest endpoint got 13 times the requests of the least busy one in
+#: the same second.
+SAMPLE_SIZE = 3
+#: Smallest assumed time to the first byte of an answer, in seconds. Without it, an
+#: endpoint without a measurement would count as infinitely fast.
+MIN_ANSWER_S = 0.005
+#: Time to fetch a shared part from another engine, as a share of its prefill time.
 FETCH_SHARE = 0.15
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionCriteria:
-    """What matters of a request for the choice.
+    """Properties of a request that determine the choice of its endpoint.
 
     Attributes
     ----------
     affinity_key : str or None
-        Id of the longest shared part of its prompt.
+        Id of the longest shared part of the prompt.
     prompt_tokens, shared_tokens : int
-        Length of its prompt, and of the parts that others may share.
+        Length of the prompt, and of the parts that other prompts can share.
     tried : collection of EndpointId
-        Endpoints that it has been at.
+        Endpoints that the request has been sent to.
+    local_domain : DomainId
+        Failure domain of the choosing node.
     """
 
     affinity_key: str | None
@@ -66,22 +70,24 @@
 
     @property
     def is_prompt(self) -> bool:
-        """Return whether an engine has a prompt to read for it."""
+        """Return whether the request has a prompt."""
         return self.prompt_tokens > 0 or self.affinity_key is not None
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The endpoint that was chosen, and by what.
+    """The chosen endpoint, with the reason and the forecast of the choice.
 
     Attributes
     ----------
+    reason : str
+        Rule that selected the endpoint, for the log.
     fetch_from : tuple of str and int, or None
-        Address of an engine that keeps more of the prompt's shared parts.
+        Address of an engine that has more of the prompt's shared parts cached.
     unread_tokens : int
-        What of its prompt the engine has to read.
+        Uncached tokens of the prompt at the engine.
     queue_s, prefill_s : float
-        Seconds for which the engine reads other prompts first, and then this one.
+        Seconds that the engine needs for the queued prompts, and then for this one.
     """
 
     endpoint: Endpoint
@@ -98,41 +104,44 @@
 
 
 def _cost(row: Endpoint, local_domain: DomainId) -> tuple[float, int, int]:
-    """Return what makes an endpoint less welcome for a plain call.
+    """Return the cost of an endpoint for a request without a prompt; less is better.
 
-    The time to the first answer grows with the requests there; among equals, one
-    in the node's own failure domain saves bytes between domains.
+    The time to the first answer grows with the number of requests at the endpoint.
+    Among equal endpoints, one in the node's own failure domain saves traffic between
+    domains.
     """
-    pace = max(LEAST_ANSWER_S, row.health.first_answer_s)
+    answer_s = max(MIN_ANSWER_S, row.health.first_answer_s)
     return (
-        (row.load + 1) / max(1, row.slots) * pace,
+        (row.load + 1) / max(1, row.slots) * answer_s,
         row.load,
         row.domain != local_domain,
     )
 
 
 def median_prefill_speed(rows: Sequence[Endpoint]) -> float:
-    """Return the prompt tokens a second that engines of a service read."""
-    known = [row.prefill_speed for row in rows if row.prefill_speed > 0]
-    return median(known) if known else FIRST_SPEED
+    """Return the median prefill speed of a service's engines in tokens per second."""
+    measured = [row.prefill_speed for row in rows if row.prefill_speed > 0]
+    return median(measured) if measured else DEFAULT_PREFILL_SPEED
 
 
 def sample_candidates(
     rows: Sequence[Endpoint], criteria: SelectionCriteria, now: float, rng: Random
 ) -> list[Endpoint]:
-    """Return the few engines among which a prompt's is chosen, its homes first.
+    """Return a few candidate engines for a prompt, the affinity endpoints first.
 
     Notes
     -----
-    Rendezvous hashing names the homes of a prompt's shared part: all nodes find the
-    same ones without asking each other, and a home that is lost moves only its own
-    prompts.
+    Rendezvous hashing picks the affinity endpoints of a prompt's shared part. All
+    nodes find the same ones without communication, and the loss of an endpoint moves
+    only the prompts that have their affinity there.
     """
     pool, _ = _usable(rows, criteria, now)
     key = criteria.affinity_key or ""
-    homes = nlargest(HOMES, pool, key=lambda row: _score(key, row.endpoint))
-    others = [row for row in pool if row not in homes]
-    return [*homes, *rng.sample(others, min(DRAWN, len(others)))]
+    affinity_endpoints = nlargest(
+        AFFINITY_ENDPOINTS, pool, key=lambda row: _score(key, row.endpoint)
+    )
+    others = [row for row in pool if row not in affinity_endpoints]
+    return [*affinity_endpoints, *rng.sample(others, min(SAMPLE_SIZE, len(others)))]
 
 
 def choose_candidate(
@@ -142,76 +151,81 @@
     now: float,
     assume_affinity_cached: bool = True,
 ) -> Choice:
-    """Choose the engine at which a prompt's first event is due first.
+    """Choose the engine with the earliest forecast first event of a prompt.
 
     Parameters
     ----------
     candidates : sequence of Endpoint
-        Those that were drawn, the first home first.
+        The candidates; the first one is the first affinity endpoint.
     criteria : SelectionCriteria
-        What matters of the request.
+        Properties of the request.
     cached_tokens : mapping of EndpointId to int
-        Tokens of its shared parts that engines are known to keep.
+        Cached tokens of the prompt's shared parts, by engine, as far as known.
     now : float
         Monotonic time.
     assume_affinity_cached : bool
-        Whether the first home counts as keeping shared parts that nobody keeps.
+        Whether the first affinity endpoint counts as having the shared parts cached
+        if no engine is known to have them.
 
     Notes
     -----
-    It answers long prompts beside short ones: an engine reads them one after the
-    other, and a prompt that goes where there is the least to read first is late by
-    its own length at most. Where nobody is known to keep the shared part, its first
-    home is taken for keeping it, so that it is read there and found again.
-
-    A hot prompt outgrows what its home saves by the load that it brings, and goes to
-    another engine, which fetches the shared part. The choice takes no account of
-    the fetch, or all prompts would move away from what they share.
+    An engine processes long and short prompts one after the other. A prompt that is
+    sent to the engine with the fewest tokens to process is late by its own length at
+    most. If no engine is known to have the shared part cached, its first affinity
+    endpoint counts as having it. The prompt is then processed there, and later
+    prompts find the part in its cache.
+
+    When many requests share a part, their load outweighs the prefill that the cache
+    of the affinity endpoint saves. The next prompt is then sent to another engine,
+    which fetches the shared part. The choice ignores that a fetch is possible;
+    otherwise all prompts would move away from the engines that cache their parts.
     """
     median_speed = median_prefill_speed(candidates)
-    home = candidates[0]
-    believed = dict(cached_tokens)
+    affinity_endpoint = candidates[0]
+    assumed_cached = dict(cached_tokens)
     if assume_affinity_cached and not any(cached_tokens.values()):
-        believed = {home.endpoint: criteria.shared_tokens}
+        assumed_cached = {affinity_endpoint.endpoint: criteria.shared_tokens}
 
     def speed(row: Endpoint) -> float:
         return row.prefill_speed or median_speed
 
-    def due_s(row: Endpoint) -> float:
-        unread = criteria.prompt_tokens - believed.get(row.endpoint, 0)
-        work = row.backlog(now, speed(row)) + unread + TOKENS_PER_REQUEST * row.load
-        return work / speed(row)
-
-    best = min(candidates, key=due_s)
-    source = max(candidates, key=lambda row: believed.get(row.endpoint, 0))
-    missing = believed.get(source.endpoint, 0) - believed.get(best.endpoint, 0)
-    unread = criteria.prompt_tokens - cached_tokens.get(best.endpoint, 0)
-    if missing > 0 and cached_tokens.get(source.endpoint, 0):
-        unread -= round((1 - FETCH_SHARE) * missing)
+    def first_event_s(row: Endpoint) -> float:
+        uncached = criteria.prompt_tokens - assumed_cached.get(row.endpoint, 0)
+        tokens = row.backlog(now, speed(row)) + uncached + TOKENS_PER_REQUEST * row.load
+        return tokens / speed(row)
+
+    best = min(candidates, key=first_event_s)
+    source = max(candidates, key=lambda row: assumed_cached.get(row.endpoint, 0))
+    missing_tokens = assumed_cached.get(source.endpoint, 0) - assumed_cached.get(
+        best.endpoint, 0
+    )
+    uncached = criteria.prompt_tokens - cached_tokens.get(best.endpoint, 0)
+    if missing_tokens > 0 and cached_tokens.get(source.endpoint, 0):
+        uncached -= round((1 - FETCH_SHARE) * missing_tokens)
     return Choice(
         best,
-        "prefix home" if best is home else "first event due first",
-        source.address if missing > 0 else None,
-        unread,
+        "prefix home" if best is affinity_endpoint else "first event due first",
+        source.address if missing_tokens > 0 else None,
+        uncached,
         best.backlog(now, speed(best)) / speed(best),
-        unread / speed(best),
+        uncached / speed(best),
     )
 
 
 def answered_since(rows: Sequence[Endpoint], since: float) -> list[Endpoint]:
-    """Return the endpoints whose own answers show that they have not left.
+    """Return the endpoints whose recent answers show that they still accept work.
 
     Parameters
     ----------
     rows : sequence of Endpoint
-        Those of the service that accept work, as far as this node knows.
+        Endpoints of the service that accept work by this node's list.
     since : float
         Monotonic time of the oldest request whose answer counts.
 
     Notes
     -----
-    For a node that can no longer tell how old its list is: any endpoint may have left
-    meanwhile, but for those that have just answered.
+    A node uses this when its list of endpoints is no longer within the age bound. Any
+    endpoint may have left since then, except those that have just answered.
     """
     return [row for row in rows if row.last_accepting_at >= since]
 
@@ -219,42 +233,45 @@
 def choose_endpoint(
     rows: Sequence[Endpoint], criteria: SelectionCriteria, now: float, rng: Random
 ) -> Choice | None:
-    """Choose among the endpoints that accept work; None if all are full.
+    """Choose among the endpoints that accept work; return None if all are full.
 
     Parameters
     ----------
     rows : sequence of Endpoint
-        Those of the service that accept work.
+        Endpoints of the service that accept work.
     criteria : SelectionCriteria
-        What matters of the request.
+        Properties of the request.
     now : float
         Monotonic time.
     rng : random.Random
-        Draws the pair of which the better is taken.
+        Source of the random candidates.
 
     Notes
     -----
-    An endpoint that has failed lately is used only when no other is free: being
-    wrong about a healthy one costs some load elsewhere, being wrong about a broken
-    one costs the request.
+    An endpoint that has failed recently is used only if no other one is free. To
+    avoid a healthy endpoint by mistake only adds load to the others; to use a broken
+    one by mistake costs the request.
     """
     if criteria.is_prompt:
         candidates = sample_candidates(rows, criteria, now, rng)
         return choose_candidate(candidates, criteria, {}, now) if candidates else None
-    pool, sound = _usable(rows, criteria, now)
+    pool, healthy = _usable(rows, criteria, now)
     if not pool:
         return None
-    # The better of two drawn at random: all nodes read the same late news, and the
-    # least loaded endpoint would be everyone's choice until the next news.
+    # Choose the better of two random endpoints. All nodes have the same outdated loads;
+    # otherwise all would choose the same least loaded endpoint until the next update.
     pair = rng.sample(pool, 2) if len(pool) > 2 else pool
     best = min(pair, key=lambda row: _cost(row, criteria.local_domain))
-    return Choice(best, "least load" if sound else "least load, avoided")
+    return Choice(best, "least load" if healthy else "least load, avoided")
 
 
 def _usable(
     rows: Sequence[Endpoint], criteria: SelectionCriteria, now: float
 ) -> tuple[list[Endpoint], bool]:
-    """Return the endpoints with room, and whether any of those is sound."""
-    fresh = [row for row in rows if row.endpoint not in criteria.tried and row.free]
-    sound = [row for row in fresh if row.health.avoided_until <= now]
-    return sound or fresh, bool(sound)
+    """Return the free endpoints that have not been tried, and whether they are healthy.
+
+    Endpoints that are avoided for failures are left out unless all are avoided.
+    """
+    untried = [row for row in rows if row.endpoint not in criteria.tried and row.free]
+    healthy = [row for row in untried if row.health.avoided_until <= now]
+    return healthy or untried, bool(healthy)
--- a/poplarrelay/entry/crashes.py
+++ b/poplarrelay/entry/crashes.py
@@ -32,22 +32,23 @@
 #: Seconds after a complete answer to a request within which crashes during it do not
 #: count. A frequent request is in progress at any endpoint that crashes.
 ANSWER_MEMORY_S = 10.0
-#: Requests of one team for which crashes are kept, and for which answers are.
-MOST_RECORDS = 512
-MOST_ANSWERS = 512
-#: Crashes in one record; later ones replace earlier ones.
-MOST_RUNS = 8
+#: Requests per team for which crashes are kept, and for which answers are kept.
+MAX_RECORDS = 512
+MAX_ANSWERS = 512
+#: Crashes in one record at most; later ones replace earlier ones.
+MAX_RUNS = 8
 #: Records in one datagram at most.
-MOST_RECORDS_SENT = 40
-#: Datagrams that repeat a change, as some are lost.
+MAX_RECORDS_SENT = 40
+#: Number of datagrams in which a change is sent, because some datagrams are lost.
 SENDS_PER_CHANGE = 3
-#: Crashes from which on a record is sent in every round, for nodes that start later.
+#: Records with at least this number of crashes are sent in every round, for nodes that
+#: start later.
 ALWAYS_SENT_CRASHES = 2
 #: Seconds between two scans for records that are too old.
 FORGET_INTERVAL_S = 10.0
-#: Seconds by which a peer's time of an answer must be later to replace the known one.
-#: Times are sent as ages, so each hop adds its delay to them; without a tolerance,
-#: nodes would pass the same answer on without end.
+#: Seconds by which a peer's answer must be later than the recorded one to replace it.
+#: Times are sent as ages, so each hop adds its delay to them. Without a tolerance,
+#: nodes would send the same answer to each other endlessly.
 ANSWER_TOLERANCE_S = 1.0
 
 
@@ -104,19 +105,20 @@
         return cls(
             RequestFingerprint(str(fingerprint)),
             TeamId(str(team)),
-            # Without this filter, nodes would keep sending expired crashes around.
+            # Without this filter, nodes would send expired crashes to each other
+            # endlessly.
             {run: now - s for run, s in ages.items() if s <= CRASH_MEMORY_S},
             -inf if answered_s is None else now - max(0.0, float(answered_s)),
         )
 
     def merge(self, other: CrashRecord) -> bool:
-        """Add what another record has, and return whether that changes this one."""
+        """Merge another record into this one, and return whether that changes it."""
         runs = {run: at for run, at in other.crashes.items() if run not in self.crashes}
-        if len(self.crashes) >= MOST_RUNS:
+        if len(self.crashes) >= MAX_RUNS:
             earliest = min(self.crashes.values())
             runs = {run: at for run, at in runs.items() if at > earliest}
         self.crashes.update(runs)
-        while len(self.crashes) > MOST_RUNS:
+        while len(self.crashes) > MAX_RUNS:
             del self.crashes[min(self.crashes, key=self.crashes.__getitem__)]
         later = other.answered_at > self.answered_at + ANSWER_TOLERANCE_S
         if later:
@@ -124,20 +126,20 @@
         return bool(runs) or later
 
     def has_more_than(self, other: CrashRecord) -> bool:
-        """Return whether this record has something that another one lacks."""
+        """Return whether this record has crashes or an answer that another lacks."""
         later = self.answered_at > other.answered_at + ANSWER_TOLERANCE_S
-        full = len(other.crashes) >= MOST_RUNS
+        full = len(other.crashes) >= MAX_RUNS
         return later or not (full or self.crashes.keys() <= other.crashes.keys())
 
 
 @dataclass(slots=True)
 class CrashTable:
-    """Crashes during requests, as far as this node knows.
+    """Crashes during requests that this node has observed or received from peers.
 
     Attributes
     ----------
     urgent : bool
-        Whether a change is to be sent to peers before the next round.
+        Whether a change must be sent to peers before the next round.
     noted : int
         Crashes that this node has observed itself.
     refused : int
@@ -163,7 +165,11 @@
     @property
     def records(self) -> list[CrashRecord]:
         """Return all records."""
-        return [each for kept in self._records.values() for each in kept.values()]
+        return [
+            each
+            for team_records in self._records.values()
+            for each in team_records.values()
+        ]
 
     def record(
         self, team: TeamId, fingerprint: RequestFingerprint
@@ -187,8 +193,8 @@
     ) -> int:
         """Note that a run crashed during a request; return the crashes that count."""
         self.noted += 1
-        seen = CrashRecord(fingerprint, team, {run: now})
-        self._merge(seen, now, "this node")
+        observed = CrashRecord(fingerprint, team, {run: now})
+        self._merge(observed, now, "this node")
         found = self.record(team, fingerprint)
         return 0 if found is None else len(found.counted_crashes(now))
 
@@ -199,29 +205,32 @@
         answers = self._answers.setdefault(team, OrderedDict())
         answers[fingerprint] = now
         answers.move_to_end(fingerprint)
-        if len(answers) > MOST_ANSWERS:
+        if len(answers) > MAX_ANSWERS:
             answers.popitem(last=False)
         if self.record(team, fingerprint) is not None:
             answered = CrashRecord(fingerprint, team, answered_at=now)
             self._merge(answered, now, "this node")
 
     def receive(self, records: Iterable[list[Any]], host: str, now: float) -> None:
-        """Merge a peer's records; raises `ValueError` if they are malformed."""
-        for heard in [CrashRecord.decode(raw, now) for raw in records]:
-            self._merge(heard, now, host)
+        """Merge the records of a peer; raises `ValueError` if they are malformed."""
+        for received in [CrashRecord.decode(raw, now) for raw in records]:
+            self._merge(received, now, host)
 
-    def _merge(self, heard: CrashRecord, now: float, source: str) -> None:
-        record = self.record(heard.team, heard.fingerprint)
+    def _merge(self, received: CrashRecord, now: float, source: str) -> None:
+        record = self.record(received.team, received.fingerprint)
         if record is None:
-            if not heard.crashes:
+            if not received.crashes:
                 return
-            record = self._add(heard.team, heard.fingerprint, now)
+            record = self._add(received.team, received.fingerprint, now)
         was_blocked = record.blocked_s(now) is not None
-        news = record.merge(heard)
-        news = record.merge(self._noted_answer(heard.team, heard.fingerprint)) or news
-        if news or record.has_more_than(heard):
+        changed = record.merge(received)
+        changed = (
+            record.merge(self._noted_answer(received.team, received.fingerprint))
+            or changed
+        )
+        if changed or record.has_more_than(received):
             record.sends_left = SENDS_PER_CHANGE
-            self.urgent = self.urgent or news
+            self.urgent = self.urgent or changed
         blocked_s = record.blocked_s(now)
         if was_blocked != (blocked_s is not None):
             _LOG.warning(
@@ -246,19 +255,19 @@
     def _add(
         self, team: TeamId, fingerprint: RequestFingerprint, now: float
     ) -> CrashRecord:
-        kept = self._records.setdefault(team, {})
-        if len(kept) >= MOST_RECORDS:
+        team_records = self._records.setdefault(team, {})
+        if len(team_records) >= MAX_RECORDS:
             ranked = sorted(
-                kept.values(),
+                team_records.values(),
                 key=lambda each: (
                     len(each.counted_crashes(now)),
                     max(each.crashes.values()),
                 ),
             )
-            for least in ranked[: MOST_RECORDS // 4]:
-                del kept[least.fingerprint]
-        kept[fingerprint] = CrashRecord(fingerprint, team)
-        return kept[fingerprint]
+            for evicted in ranked[: MAX_RECORDS // 4]:
+                del team_records[evicted.fingerprint]
+        team_records[fingerprint] = CrashRecord(fingerprint, team)
+        return team_records[fingerprint]
 
     def outgoing(self, now: float) -> list[list[Any]]:
         """Return the records for the next datagram to peers."""
@@ -281,23 +290,23 @@
             if each.sends_left > 0 or count >= ALWAYS_SENT_CRASHES
         ]
         due.sort(key=lambda entry: entry[:3], reverse=True)
-        return [each for *_, each in due[:MOST_RECORDS_SENT]]
+        return [each for *_, each in due[:MAX_RECORDS_SENT]]
 
     def forget(self, now: float) -> None:
-        """Drop crashes and answers that are too old to matter."""
+        """Drop crashes and answers that are too old to count."""
         if now < self._next_forget_at:
             return
         self._next_forget_at = now + FORGET_INTERVAL_S
-        for team, kept in list(self._records.items()):
-            for record in list(kept.values()):
-                old = [
+        for team, team_records in list(self._records.items()):
+            for record in list(team_records.values()):
+                expired = [
                     r for r, at in record.crashes.items() if now - at > CRASH_MEMORY_S
                 ]
-                for run in old:
+                for run in expired:
                     del record.crashes[run]
                 if not record.crashes:
-                    del kept[record.fingerprint]
-            if not kept:
+                    del team_records[record.fingerprint]
+            if not team_records:
                 del self._records[team]
         for team, answers in list(self._answers.items()):
             while answers and now - next(iter(answers.values())) > ANSWER_MEMORY_S:
--- a/poplarrelay/entry/demand.py
+++ b/poplarrelay/entry/demand.py
@@ -1,4 +1,4 @@
-"""What callers ask of each service, in tokens a second."""
+"""Measure the demand for each service in tokens per second."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 __all__ = ["DemandMeter", "expected_tokens_per_s"]
 
-#: Seconds over which the rate is taken: long enough for some ten long prompts on the
-#: smallest deployment, shorter than the boot of an endpoint.
+#: Seconds over which the rate is computed: long enough for about ten long prompts on
+#: the smallest deployment, and shorter than the boot of an endpoint.
 WINDOW_S = 2.0
-#: Weight of one prompt in the part of all prompts that engines have to read: the last
-#: fifty count most, some seconds of one node's.
-UNREAD_WEIGHT = 0.02
-#: Part of the teams' quotas that callers are expected to use before any have come.
-#: Quotas are what operators let through at the most; in steady use they are a bit
-#: over half taken.
+#: Weight of one prompt in the moving share of uncached tokens: the last fifty prompts
+#: count most. One node gets that number within a few seconds.
+UNCACHED_WEIGHT = 0.02
+#: Share of the teams' quotas that is expected to be used before any request arrives.
+#: Quotas are the most that operators permit; in steady use, a little more than half of
+#: them is used.
 QUOTA_SHARE = 0.5
 
 
 def expected_tokens_per_s(teams: Iterable[Team]) -> float:
-    """Return the tokens a second to expect before any request has come.
+    """Return the expected tokens per second before any request has arrived.
 
     Notes
     -----
-    What operators have ready at the start need not carry what comes: a dozen
-    engines were found before 440 requests a second, and new ones take seconds to
-    boot. Quotas tell the size of the load before it is there.
+    The endpoints that operators provide at the start can be too few for the load: a
+    dozen engines were there when 440 requests per second began, and new engines take
+    seconds to boot. The quotas show the size of the load before it arrives.
     """
     quotas = [team.quota for team in teams if team.quota is not None]
     return QUOTA_SHARE * sum(quota.per_s for quota in quotas if quota.in_tokens)
@@ -37,16 +37,23 @@
 
 @dataclass(slots=True)
 class DemandMeter:
-    """The tokens that this node's callers have lately asked for.
+    """Tokens that this node's callers have requested in the last seconds.
+
+    Attributes
+    ----------
+    arrivals : dict of ServiceName to deque of (float, float)
+        Monotonic time and tokens of each recent request, by service.
+    unread : dict of ServiceName to float
+        Moving share of prompt tokens that are uncached at the engines, by service.
 
     Notes
     -----
-    Requests at the endpoints are counted as well, but they pile up only when the
-    endpoints are too few already; what callers ask for shows it seconds earlier, and
-    does not grow when answers get slow.
+    The number of requests at the endpoints also shows the load, but it grows only
+    when the endpoints are too few already. The demand of callers shows this seconds
+    earlier, and it does not grow when answers become slow.
 
-    Of prompts only what engines have to read counts. How much of them engines keep
-    is known when they are sent; those that are refused count like the others.
+    Only the uncached tokens of prompts count. Their number is known when a prompt is
+    sent to an engine. Prompts that are refused count with the mean share.
     """
 
     arrivals: dict[ServiceName, deque[tuple[float, float]]] = field(
@@ -57,27 +64,39 @@
     def note(
         self, service: ServiceName, prompt_tokens: int, output_tokens: int, now: float
     ) -> None:
-        """Note an admitted request."""
+        """Count an admitted request."""
         tokens = self.unread.get(service, 1.0) * prompt_tokens + output_tokens
         self.arrivals.setdefault(service, deque()).append((now, tokens))
 
     def note_unread(self, service: ServiceName, prompt: int, unread: int) -> None:
-        """Note how much of a prompt its engine has to read."""
-        before = self.unread.get(service, 1.0)
+        """Update the share of uncached tokens by a prompt that is sent to an engine.
+
+        Parameters
+        ----------
+        service : ServiceName
+            The service that the prompt is for.
+        prompt : int
+            Length of the prompt in tokens.
+        unread : int
+            Uncached tokens of the prompt at the engine.
+        """
+        previous = self.unread.get(service, 1.0)
         share = min(1.0, unread / prompt)
-        self.unread[service] = before + UNREAD_WEIGHT * (share - before)
+        self.unread[service] = previous + UNCACHED_WEIGHT * (share - previous)
 
     def mean_tokens(self, service: ServiceName) -> float:
-        """Return the mean tokens per recent request for a service, 0 without any."""
+        """Return the mean tokens per recent request for a service, 0 if none."""
         times = self.arrivals.get(service)
         return sum(tokens for _, tokens in times) / len(times) if times else 0.0
 
     def rates(self, now: float) -> dict[ServiceName, int]:
-        """Return the tokens a second asked of each service that is in use."""
-        found = {}
+        """Return the requested tokens per second of each service with requests."""
+        rates_by_service = {}
         for service, times in self.arrivals.items():
             while times and times[0][0] < now - WINDOW_S:
                 times.popleft()
             if times:
-                found[service] = round(sum(tokens for _, tokens in times) / WINDOW_S)
-        return found
+                rates_by_service[service] = round(
+                    sum(tokens for _, tokens in times) / WINDOW_S
+                )
+        return rates_by_service
--- a/poplarrelay/entry/duty_lease.py
+++ b/poplarrelay/entry/duty_lease.py
@@ -1,4 +1,4 @@
-"""A duty that one node holds at a time: its lease and its fencing token."""
+"""Lease and fencing token of a duty, which one node holds at a time."""
 
 from __future__ import annotations
 
@@ -11,33 +11,36 @@
 
 __all__ = ["CANDIDATES", "DutyLease", "LeaseChange", "is_candidate"]
 
-#: Part of the lease that a holder uses, counted from when it sent the renewal. The
-#: rest covers clocks that run at different speeds and calls already on their way.
+#: Share of the lease term that a holder uses, counted from the time at which it sent
+#: the renewal. The rest covers clocks of different speeds and calls in flight.
 SAFE_SHARE = 0.7
-#: Time in seconds beyond the platform's bound that a new holder waits, for the same.
+#: Seconds that a new holder waits in addition to the platform's bound, for the same
+#: reasons.
 WAIT_MARGIN_S = 0.4
 
-#: Nodes that stand for the duties. Each renews twice a second at the platform's price:
-#: with 195 nodes a quarter of all calls were renewals. Nine leave one in five hundred
-#: chances that all of them are cut off where half of all nodes are.
+#: Number of nodes that are candidates for the duties. Each candidate renews twice a
+#: second, and the platform charges for each call: with 195 candidates, a quarter of all
+#: calls were renewals. If half of all nodes are unreachable, all nine candidates are
+#: among them with a probability of one in five hundred.
 CANDIDATES = 9
 
 
-def is_candidate(me: NodeId, others: Iterable[NodeId]) -> bool:
-    """Return whether a node stands for the duties.
+def is_candidate(node: NodeId, others: Iterable[NodeId]) -> bool:
+    """Return whether a node is a candidate for the duties.
 
     Parameters
     ----------
-    me : NodeId
+    node : NodeId
         The node.
     others : iterable of NodeId
         The other nodes that are alive.
 
     Notes
     -----
-    The first by their hashes, which all nodes find without asking. Where they
-    disagree on who is alive a few more stand, which costs calls and nothing else:
-    the store gives the duties to one member.
+    The candidates are the first nodes in the order of their hashes, which all nodes
+    compute without communication. If nodes disagree on which nodes are alive, there
+    are a few more candidates. That only costs calls: the store gives the duties to
+    one member.
 
     Examples
     --------
@@ -47,8 +50,8 @@
     >>> sum(is_candidate(node, [n for n in nodes if n != node]) for node in nodes)
     9
     """
-    rank = _rank(me)
-    return sum(_rank(node) < rank for node in others) < CANDIDATES
+    rank = _rank(node)
+    return sum(_rank(other) < rank for other in others) < CANDIDATES
 
 
 def _rank(node: NodeId) -> bytes:
@@ -56,7 +59,7 @@
 
 
 class LeaseChange(Enum):
-    """What a renewal changed."""
+    """Change of the lease by a renewal."""
 
     NONE = "none"
     TAKEN = "taken"
@@ -65,26 +68,34 @@
 
 @dataclass(slots=True)
 class DutyLease:
-    """Whether this node holds a duty, as far as it can know.
+    """Lease of this node on a duty, by the renewals that the store has answered.
 
     Attributes
     ----------
     ttl_s : float
-        Time after a renewal at which the store may give the duty to another.
+        Seconds after a renewal at which the store can give the duty to another node.
     wait_s : float
-        Time that must lie between this node's last act in an earlier tenure and its
-        first in a new one. A duty that goes from one node to another and back at
-        once would otherwise let both act within the time in which the platform
-        allows only one change. A node that has not acted lately need not wait.
-    last_action_at : float
-        Monotonic time of the last act; a process that has just started may have
-        acted before a restart, and begins with its time of start.
-    clear_at : float
-        Monotonic time from which this node may act in its tenure.
+        Least number of seconds between this node's last action in an earlier lease
+        term and its first action in a new one. Without it, when a duty moves to
+        another node and back at once, both nodes could act within the time in which
+        the platform allows only one change of holder. A node that has not acted
+        recently does not wait.
+    generation : int
+        Generation of the group in the last answer of the store.
     token : int
-        Fencing token of the tenure: the group's generation in which it began.
-        Generations only rise, and the duty cannot reach another member without
-        one, so two tenures never share a token and later ones have larger.
+        Fencing token of the lease term: the group's generation in which the term
+        began. Generations only increase, and the duty cannot move to another member
+        without a new one. Therefore two terms never have the same token, and later
+        terms have larger ones.
+    held : bool
+        Whether the last answer of the store gave the duty to this node.
+    last_action_at : float
+        Monotonic time of the last action. A process that has just started uses its
+        start time, because it can have acted before a restart.
+    earliest_action_at : float
+        Monotonic time from which this node can act in its lease term.
+    renewed_at : float
+        Monotonic time at which the last answered renewal was sent.
     """
 
     ttl_s: float
@@ -93,11 +104,11 @@
     token: int = 0
     held: bool = False
     last_action_at: float = 0.0
-    clear_at: float = 0.0
+    earliest_action_at: float = 0.0
     renewed_at: float = float("-inf")
 
     def renew(self, holds: bool, generation: int, sent_at: float) -> LeaseChange:
-        """Take the store's answer to a renewal.
+        """Update the lease by the store's answer to a renewal.
 
         Parameters
         ----------
@@ -106,37 +117,40 @@
         generation : int
             The group's generation.
         sent_at : float
-            Monotonic time at which the renewal was sent; the store counts from a
-            later moment.
+            Monotonic time at which the renewal was sent. The store counts the lease
+            term from a later time.
         """
-        lapsed = self.held and sent_at - self.renewed_at > SAFE_SHARE * self.ttl_s
+        expired = self.held and sent_at - self.renewed_at > SAFE_SHARE * self.ttl_s
         was_held = self.held
-        rebuilt = generation < self.generation
+        generation_reset = generation < self.generation
         self.generation = generation
         self.renewed_at = sent_at
         if not holds:
             self.held = False
             return LeaseChange.LOST if was_held else LeaseChange.NONE
-        if was_held and not lapsed and not rebuilt:
+        if was_held and not expired and not generation_reset:
             return LeaseChange.NONE
-        # After a lapse another node may have held it in between.
+        # After the lease has expired, another node can have held the duty in between.
         self.held = True
-        self.clear_at = self.last_action_at + self.wait_s + WAIT_MARGIN_S
+        self.earliest_action_at = self.last_action_at + self.wait_s + WAIT_MARGIN_S
         self.token = generation
         return LeaseChange.TAKEN
 
     def may_act(self, now: float) -> bool:
-        """Return whether this node may act on the duty at this moment."""
+        """Return whether this node may act on the duty now."""
         return (
             self.held
             and now - self.renewed_at < SAFE_SHARE * self.ttl_s
-            and now >= self.clear_at
+            and now >= self.earliest_action_at
         )
 
     def record_action(self, now: float) -> None:
-        """Note that this node acts on the duty."""
+        """Record that this node acts on the duty."""
         self.last_action_at = now
 
     def relinquish(self) -> None:
-        """Stop holding it, as after a freeze: the lease may have passed on."""
+        """Stop holding the duty, for example after a pause of the process.
+
+        Another node can have got the lease during the pause.
+        """
         self.held = False
--- a/poplarrelay/entry/metering.py
+++ b/poplarrelay/entry/metering.py
@@ -1,4 +1,4 @@
-"""How many requests of each team began in each window of the wall clock."""
+"""Count the requests of each team that began in each window of the wall clock."""
 
 from __future__ import annotations
 
@@ -11,25 +11,28 @@
 
 WindowNumber = int
 
-#: Windows that are kept and told to the others.
+#: Number of windows that are kept and sent to the other nodes.
 KEPT_WINDOWS = 4
 
 
 @dataclass(slots=True)
 class UsageCounts:
-    """A node's counts, by window and team.
+    """Requests that began to run at one node, by window and team.
 
     Attributes
     ----------
     window_s : float
-        Length of a window; window k begins k lengths after the start of 1970.
+        Length of a window in seconds. Window k begins k lengths after the start of
+        1970.
+    windows : dict of int to dict of TeamId to int
+        Counts by team, by window.
     """
 
     window_s: float
     windows: dict[WindowNumber, dict[TeamId, int]] = field(default_factory=dict)
 
     def window_of(self, wall: float) -> WindowNumber:
-        """Return the window that holds a time of day."""
+        """Return the number of the window that contains a wall-clock time."""
         return int(wall // self.window_s)
 
     def note(self, team: TeamId, wall: float) -> None:
--- a/poplarrelay/entry/outcomes.py
+++ b/poplarrelay/entry/outcomes.py
@@ -1,4 +1,4 @@
-"""What an attempt and a request come to."""
+"""Outcomes of an attempt and of a request."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The endpoint gave a whole answer, good or bad, which is not yet passed on.
+    """Complete answer of the endpoint, with any status, not yet sent to the caller.
 
     Attributes
     ----------
     framed : bool
-        Whether it has a length or is chunked. Otherwise truncation goes unnoticed.
+        Whether the answer has a length or is chunked. Truncation of other answers
+        cannot be detected.
     """
 
     status: int
@@ -36,18 +37,21 @@
 
     @property
     def why(self) -> str:
-        """Return what to log of it."""
+        """Return the reason for the log."""
         return f"status {self.status}"
 
 
 @dataclass(frozen=True, slots=True)
 class Streamed:
-    """The endpoint's stream came to its end and was passed on whole.
+    """Complete stream of the endpoint, which has been sent to the caller.
 
     Attributes
     ----------
+    events_bytes : int
+        Bytes of the events that were sent to the caller.
     framed : bool
-        Whether it has a length or is chunked. Otherwise truncation goes unnoticed.
+        Whether the stream has a length or is chunked. Truncation of other streams
+        cannot be detected.
     """
 
     events_bytes: int
@@ -55,22 +59,25 @@
 
     @property
     def why(self) -> str:
-        """Return what to log of it."""
+        """Return an empty reason: the stream is complete."""
         return ""
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The endpoint did not run the request and will not.
+    """The endpoint has not run the request and will not run it.
 
     Attributes
     ----------
+    why : str
+        Reason, for the log.
     arrived : bool
-        Whether it reached an endpoint, which then said so.
+        Whether the request reached an endpoint, which answered that it does not run
+        it.
     gone : bool
-        Whether it shows that this run of the endpoint has ended: nothing listens at
-        its address, or another run does. A connection that takes too long does not;
-        the path may be at fault.
+        Whether the result shows that this run of the endpoint has ended: no process
+        listens at its address, or another run does. A connection timeout does not
+        show this, because the network can be its cause.
     """
 
     why: str
@@ -80,12 +87,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """No whole answer; the request may have run.
+    """The answer is missing or incomplete; the request may have run.
 
     Attributes
     ----------
+    why : str
+        Reason, for the log.
     silent : bool
-        Whether the endpoint was given up for its silence.
+        Whether the node stopped waiting because the endpoint sent nothing.
     closed : bool
         Whether the endpoint closed or reset the connection.
     """
@@ -97,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamBroken:
-    """A stream broke off after some of it was passed on; see `Broken`."""
+    """A stream ended early after a part of it was sent to the caller; see `Broken`."""
 
     why: str
     silent: bool = False
@@ -108,7 +117,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a request is not served."""
+    """Reason why a request is not served."""
 
     NO_CONFIGURATION = "no configuration is known yet"
     NO_ROUTE = "no route for this host and path"
@@ -127,12 +136,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """An answer of the system's own.
+    """Refusal that the system sends in place of an endpoint's answer.
 
     Attributes
     ----------
+    status : int
+        HTTP status code.
     retry_after_s : float or None
-        When to come back, where the request has not run.
+        Seconds after which the caller can retry a request that has not run, None if
+        the answer states no time.
+    detail : str
+        Details of the reason, for the log.
     """
 
     status: int
--- a/poplarrelay/entry/request_context.py
+++ b/poplarrelay/entry/request_context.py
@@ -1,4 +1,4 @@
-"""What a node knows of one request while it serves it."""
+"""State of one request while a node serves it."""
 
 from __future__ import annotations
 
@@ -21,28 +21,30 @@
 
     Attributes
     ----------
+    team : Team or None
+        The caller's team, None if the caller has none.
     priority : int
-        Rank of the request; 0 goes first.
+        Priority of the request; 0 is served first.
     until : float
-        Monotonic time at which nobody waits for the answer any more.
+        Monotonic time of the request's deadline.
     version : int
-        The configuration that admitted it.
+        Version of the configuration that was in force when the request was admitted.
     teams_configured : bool
         Whether the configuration has teams with keys.
     fingerprint : RequestFingerprint
-        Digest of the request, the same for all of the caller's retries.
+        Digest of the request, the same for all retries of the caller.
     tried : list of EndpointId
-        Where it has been sent, or was to be sent.
+        Endpoints to which the node has sent the request or tried to send it.
     may_have_run : bool
-        Whether an endpoint may have worked on it.
+        Whether an endpoint may have run the request.
     execution_started : bool
-        Whether an endpoint has shown that it does.
+        Whether an endpoint has shown that it runs the request.
     last_error_response : Answered or None
-        An endpoint's own bad answer, kept while another one is tried.
+        The last error response of an endpoint, kept while another endpoint is tried.
     quota_cost : float
-        What it has taken from its team's quota.
+        Amount that the request has taken from its team's quota.
     quota_left : float or None
-        What was left then, None without a quota.
+        Amount left in the quota after that, None without a quota.
     """
 
     request: CallerRequest
@@ -65,15 +67,15 @@
 
     @property
     def remaining_s(self) -> float:
-        """Return the time until nobody waits for the answer any more."""
+        """Return the seconds until the deadline."""
         return self.until - monotonic()
 
     @property
     def team_name(self) -> TeamId:
-        """Return the name of its team, empty if it has none."""
+        """Return the name of the request's team, empty if it has none."""
         return TeamId("") if self.team is None else self.team.name
 
     @property
     def streams(self) -> bool:
-        """Return whether the answer is a series of events."""
+        """Return whether the answer is a stream of events."""
         return self.route.kind is RouteKind.STREAMING
--- a/poplarrelay/entry/scaling.py
+++ b/poplarrelay/entry/scaling.py
@@ -1,4 +1,4 @@
-"""Orders for endpoints, which the holder of the duties gives."""
+"""Order endpoints from the platform; only the holder of the duties does this."""
 
 from __future__ import annotations
 
@@ -42,47 +42,48 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.duty")
 
-#: Seconds between rounds: a notice of some two seconds is answered within its first
-#: quarter.
+#: Seconds between rounds. A reclaim notice comes about two seconds ahead, and the
+#: orders for it follow within the first quarter of that time.
 SCALING_INTERVAL_S = 0.25
-#: Seconds between orders that say the same. An order whose answer was lost may be
-#: carried out after a newer one, and would stay in force otherwise.
-AFFIRM_S = 8.0
-#: Seconds beyond its boot time after which an ordered endpoint should be listed.
+#: Seconds after which an order is repeated. An order whose answer was lost can take
+#: effect after a newer one, and would stay in force without the repetition.
+ORDER_REPEAT_S = 8.0
+#: Seconds after its boot time within which an ordered endpoint should be listed.
 BOOT_MARGIN_S = 1.5
-#: Seconds after which reclaimable endpoints are asked for again in a domain where
-#: there were none.
-DRY_S = 2.5
-#: Boots of an on-demand endpoint for which one is kept at least: what is given up as
-#: soon as it serves was paid for its boot alone.
-KEEP_BOOTS = 1.5
-#: Seconds after the first start within which all endpoints that were there have
-#: written their records, and none that were ordered serve.
-FOUND_S = 4.0
-#: Seconds of load after which the load decides alone.
-LEARN_FIRST_S = 8.0
-#: Seconds of requests that a restarted process sees before it orders by them.
-LEARN_LOAD_S = 4.0
-#: Part by which what is needed falls in a second once less is asked for. It rises at
-#: once: late orders cost answers, early cancellations cost boots.
-FALLING = 0.06
-#: Seconds over which the mean is taken that dear endpoints come for: few long prompts
-#: make the demand of a small service swing by a third within seconds.
-STEADY_S = 4.0
+#: Seconds after which reclaimable endpoints are ordered again in an exhausted domain.
+EXHAUSTED_S = 2.5
+#: Least time for which an on-demand endpoint is kept, in boot times. An endpoint that
+#: is released as soon as it serves costs its boot and gives no service.
+MIN_KEPT_BOOTS = 1.5
+#: Seconds after the first start of the system in which the existing endpoints are
+#: counted. By then all of them have written their records, and no ordered endpoint
+#: serves yet.
+INITIAL_COUNT_S = 4.0
+#: Seconds after the first request from which the load alone determines the orders.
+INITIAL_LOAD_S = 8.0
+#: Seconds for which a restarted process counts requests before it orders fewer
+#: endpoints.
+RESTART_LOAD_S = 4.0
+#: Share of the difference by which the needed number falls per second when the demand
+#: falls. It rises at once: late orders cost answers, early cancellations cost boots.
+FALLING_SHARE_PER_S = 0.06
+#: Seconds over which the mean number for on-demand endpoints is computed. A few long
+#: prompts change the demand of a small service by a third within seconds.
+MEAN_NEEDED_S = 4.0
 
 
 @dataclass(slots=True)
 class _OrderState:
-    """What was last ordered of one kind in one domain.
+    """Last order of one kind of endpoint in one domain.
 
     Attributes
     ----------
     count : int or None
-        The number, None if it is not certain that the order was taken.
+        Ordered number, None if it is not certain that the platform accepted the order.
     at : float
         Monotonic time of the order.
     raised_at : float
-        Monotonic time of the last order for more than before.
+        Monotonic time of the last order that raised the number.
     """
 
     count: int | None = None
@@ -91,18 +92,18 @@
 
 
 class EndpointScaler:
-    """Orders endpoints for the services whose number this system chooses.
+    """Orders endpoints for the services that are scaled by this system.
 
     Parameters
     ----------
     state : EntryState
         The node's tables.
     cloud : CloudClient
-        Where endpoints are ordered.
+        Client of the platform that starts and stops endpoints.
     lease : DutyLease
-        Tells whether this node may give orders.
+        Lease that decides whether this node may send orders.
     stamp : callable
-        Returns what an order bears, and notes that this node acts.
+        Returns the stamp of an order, and records that this node acts on the duty.
     """
 
     def __init__(
@@ -119,14 +120,14 @@
         self._orders: dict[tuple[ServiceName, DomainId, bool], _OrderState] = {}
         self._exhausted_until: dict[tuple[ServiceName, DomainId], float] = {}
         self._started_at = monotonic()
-        self._found: dict[ServiceName, int] = {}
+        self._initial_counts: dict[ServiceName, int] = {}
         self._first_load_at: dict[ServiceName, float] = {}
         self._needed: dict[ServiceName, float] = {}
-        self._steady: dict[ServiceName, float] = {}
+        self._mean_needed: dict[ServiceName, float] = {}
         self._smoothed_at = monotonic()
 
     async def run_round(self) -> None:
-        """Take what is asked for, and give the orders that are due if this node may."""
+        """Update the needed numbers, and send due orders if the lease allows it."""
         self._smooth_needs(monotonic())
         configuration = self._state.configuration
         if configuration is None or not self._state.endpoints_known:
@@ -137,22 +138,22 @@
 
     def _smooth_needs(self, now: float) -> None:
         configuration = self._state.configuration
-        passed_s = now - self._smoothed_at
-        falling = min(1.0, FALLING * passed_s)
+        elapsed_s = now - self._smoothed_at
+        falling = min(1.0, FALLING_SHARE_PER_S * elapsed_s)
         self._smoothed_at = now
         if configuration is None:
             return
         for name in _scaled_services(configuration):
             needed = self._count_needed(name, now)
-            # The demand is an average over seconds already: a rise counts at once.
+            # A rise counts at once because the demand is already a mean over seconds.
             before = max(needed, self._needed.get(name, needed))
             self._needed[name] = before + falling * (needed - before)
-            steady = self._steady.get(name, needed)
-            weight = min(1.0, passed_s / STEADY_S)
-            self._steady[name] = steady + weight * (needed - steady)
+            mean_needed = self._mean_needed.get(name, needed)
+            weight = min(1.0, elapsed_s / MEAN_NEEDED_S)
+            self._mean_needed[name] = mean_needed + weight * (needed - mean_needed)
 
     def _count_needed(self, service: ServiceName, now: float) -> float:
-        """Return how many endpoints carry what all callers ask for."""
+        """Return how many endpoints are needed for the demand of all callers."""
         rows = self._state.endpoints.of(service)
         demand = self._state.total_demand(service, now)
         load = float(sum(row.load for row in rows))
@@ -167,16 +168,16 @@
         limits = service.scaling
         assert limits is not None
         if not self._lease.may_act(monotonic()):
-            # Whoever holds the duty next has orders of its own.
+            # The next holder of the duty sends its own orders.
             self._orders.clear()
             return
-        # A domain that turns out to have none changes the plan of the others.
+        # If an order shows that a domain is exhausted, the plan for the others changes.
         for _ in limits.domain_prices:
             exhausted_domains = self._exhausted_domains(service, monotonic())
             plan = self._plan(service, limits, exhausted_domains)
             for part in plan:
                 order = EndpointOrder(service.name, part.domain, part.reclaimable, True)
-                if part.domain not in exhausted_domains or self._lowers(order):
+                if part.domain not in exhausted_domains or self._is_reduction(order):
                     await self._order(order, limits)
             if self._exhausted_domains(service, monotonic()) <= exhausted_domains:
                 break
@@ -194,21 +195,23 @@
         now = monotonic()
         rows = self._state.endpoints.of(service.name)
         domains = limits.domain_prices
-        given = SizingInput(
+        sizing_input = SizingInput(
             limits,
             rows,
             self._needed.get(service.name, 0.0),
-            self._steady.get(service.name, 0.0),
-            self._least_at_start(service.name, rows, now),
+            self._mean_needed.get(service.name, 0.0),
+            self._initial_minimum(service.name, rows, now),
             exhausted_domains,
             [d for d in domains if self._overdue(service.name, d, limits, now)],
-            {d: self._coming(service.name, d, True) for d in domains},
-            {d: self._coming(service.name, d, False) for d in domains},
+            {d: self._count_ordered(service.name, d, True) for d in domains},
+            {d: self._count_ordered(service.name, d, False) for d in domains},
         )
-        return plan_endpoints(given)
+        return plan_endpoints(sizing_input)
 
-    def _coming(self, service: ServiceName, domain: DomainId, reclaimable: bool) -> int:
-        """Return how many endpoints serve or were ordered."""
+    def _count_ordered(
+        self, service: ServiceName, domain: DomainId, reclaimable: bool
+    ) -> int:
+        """Return how many endpoints serve or have been ordered, the larger number."""
         present = self._present(EndpointOrder(service, domain, 0, reclaimable))
         last = self._orders.get((service, domain, reclaimable))
         return present if last is None else max(present, last.count or 0)
@@ -216,34 +219,35 @@
     def _overdue(
         self, service: ServiceName, domain: DomainId, limits: ScalingLimits, now: float
     ) -> bool:
-        """Return whether reclaimable endpoints should serve by now and do not.
+        """Return whether ordered reclaimable endpoints should serve by now and do not.
 
         Notes
         -----
-        What was ordered and should have booted long ago was taken away, or the order
-        was lost: others must be had in its place.
+        If ordered endpoints have not appeared after their boot time, the platform has
+        reclaimed them or the order was lost. Other endpoints must replace them.
         """
         last = self._orders.get((service, domain, True))
         if last is None or last.count is None:
             return False
-        late = now - last.raised_at > limits.boot_s + BOOT_MARGIN_S
+        is_late = now - last.raised_at > limits.boot_s + BOOT_MARGIN_S
         present = self._present(EndpointOrder(service, domain, 0, True))
-        return late and present < last.count
+        return is_late and present < last.count
 
     def _kept(self, order: EndpointOrder, limits: ScalingLimits) -> bool:
-        """Return whether on-demand endpoints are kept that were ordered just now."""
+        """Return whether on-demand endpoints are kept because they are too new."""
         last = self._orders.get((order.service, order.domain, False))
-        if last is None or not self._lowers(order):
+        if last is None or not self._is_reduction(order):
             return False
-        return monotonic() - last.raised_at < KEEP_BOOTS * limits.boot_s
+        return monotonic() - last.raised_at < MIN_KEPT_BOOTS * limits.boot_s
 
     def _exhausted_domains(self, service: Service, now: float) -> set[DomainId]:
-        """Return the domains where no reclaimable endpoints are to be had.
+        """Return the domains where no reclaimable endpoints are available.
 
         Notes
         -----
-        A wave takes all that a domain has, and mostly no new ones are to be had there
-        for a while. Orders elsewhere gain the notice's two seconds on a boot of four.
+        A reclaim of many endpoints takes all endpoints of a domain, and usually no new
+        ones are available there for some time. An order in other domains as soon as
+        the notice arrives uses its two seconds for a boot of four.
         """
         ordered = {
             domain: last.count
@@ -251,62 +255,63 @@
             if name == service.name and reclaimable
         }
         rows = self._state.endpoints.of(service.name)
-        found = reclaimed_domains(rows, ordered)
-        for domain in found:
-            # What was ordered there is gone, however it may count at the platform.
+        exhausted = reclaimed_domains(rows, ordered)
+        for domain in exhausted:
+            # The ordered endpoints are gone, even if the platform still counts them.
             last = self._orders.get((service.name, domain, True))
             if last is not None:
                 last.count = None
-        found |= {
+        exhausted |= {
             domain
             for (name, domain), until in self._exhausted_until.items()
             if name == service.name and now < until
         }
-        return found
+        return exhausted
 
-    def _lowers(self, order: EndpointOrder) -> bool:
-        """Return whether an order asks for less than the last one of its kind."""
+    def _is_reduction(self, order: EndpointOrder) -> bool:
+        """Return whether an order is for fewer endpoints than the last of its kind."""
         last = self._orders.get((order.service, order.domain, order.reclaimable))
         return last is not None and last.count is not None and order.count < last.count
 
-    def _knows_load(self, now: float) -> bool:
-        """Return whether this process has seen enough of the load to order less.
+    def _load_is_known(self, now: float) -> bool:
+        """Return whether this process knows the load well enough to order less.
 
         Notes
         -----
-        After a restart of all nodes nobody has a request at first, and the first
-        holder would send away endpoints that are needed a moment later.
+        After a restart of all nodes, no node has a request at first. The first holder
+        of the duty would release endpoints that are needed a moment later.
         """
         if self._state.settings.first_start:
             return True
-        return now - self._started_at > LEARN_LOAD_S
+        return now - self._started_at > RESTART_LOAD_S
 
-    def _least_at_start(
+    def _initial_minimum(
         self, service: ServiceName, rows: Sequence[Endpoint], now: float
     ) -> int:
-        """Return how many endpoints to have before the load is known.
+        """Return the least number of endpoints to have before the load is known.
 
         Notes
         -----
-        When the whole system starts there is no load yet. What the operators have
-        put there and what the teams' quotas allow are the signs of what will come.
-        Ordering by no load left two engines for the first seconds of 437 requests a
-        second, ordering by what was found there sixteen for three dozen engines' load.
+        There is no load yet when the system starts for the first time. The number of
+        endpoints that operators have started and the teams' quotas show what to
+        expect. Orders by the load alone left two engines for the first seconds of 437
+        requests per second. Orders by the number of existing endpoints left sixteen
+        engines for a load that needed three dozen.
         """
         if not self._state.settings.first_start:
             return 0
         if service not in self._first_load_at:
             if any(row.load for row in rows):
                 self._first_load_at[service] = now
-            found = max(self._found.get(service, 0), len(rows))
-            if now - self._started_at < FOUND_S:
-                self._found[service] = found
-        elif now - self._first_load_at[service] > LEARN_FIRST_S:
+            initial_count = max(self._initial_counts.get(service, 0), len(rows))
+            if now - self._started_at < INITIAL_COUNT_S:
+                self._initial_counts[service] = initial_count
+        elif now - self._first_load_at[service] > INITIAL_LOAD_S:
             return 0
-        return max(self._found.get(service, 0), self._expected(service))
+        return max(self._initial_counts.get(service, 0), self._count_expected(service))
 
-    def _expected(self, service: ServiceName) -> int:
-        """Return how many endpoints carry what the quotas let expect."""
+    def _count_expected(self, service: ServiceName) -> int:
+        """Return how many endpoints are needed for the load that the quotas allow."""
         configuration = self._state.configuration
         if configuration is None:
             return 0
@@ -316,34 +321,34 @@
         return ceil(count_needed(tokens_per_s / max(1, len(scaled)), speed))
 
     def _present(self, order: EndpointOrder) -> int:
-        """Return how many endpoints as ordered take work."""
+        """Return how many endpoints of the order's domain and kind serve."""
         rows = self._state.endpoints.of(order.service)
         return count_serving(rows, order.domain, order.reclaimable)
 
-    def _affirm_after(self, order: EndpointOrder, limits: ScalingLimits) -> float:
-        """Return after how long an order is given again.
+    def _repeat_after_s(self, order: EndpointOrder, limits: ScalingLimits) -> float:
+        """Return the seconds after which an order is repeated.
 
         Notes
         -----
-        Endpoints that are there are affirmed seldom. Ones that should have booted
-        and are not there were taken away; only asking again shows whether new ones
-        are to be had, or the other domains must carry the load.
+        An order is repeated rarely if its endpoints serve. Endpoints that should have
+        booted and do not serve have been reclaimed. Only another order shows whether
+        new ones are available or other domains must take the load.
         """
         if self._present(order) >= order.count:
-            return AFFIRM_S
-        return min(AFFIRM_S, limits.boot_s + BOOT_MARGIN_S)
+            return ORDER_REPEAT_S
+        return min(ORDER_REPEAT_S, limits.boot_s + BOOT_MARGIN_S)
 
     async def _order(self, order: EndpointOrder, limits: ScalingLimits) -> None:
         now = monotonic()
         key = (order.service, order.domain, order.reclaimable)
         last = self._orders.setdefault(key, _OrderState())
-        if last.count == order.count and now - last.at < self._affirm_after(
+        if last.count == order.count and now - last.at < self._repeat_after_s(
             order, limits
         ):
             return
         if not self._lease.may_act(now):
             return
-        if order.count < self._present(order) and not self._knows_load(now):
+        if order.count < self._present(order) and not self._load_is_known(now):
             return
         before = self._present(order) if last.count is None else last.count
         outcome, detail = await self._cloud.order(self._stamp(), order)
@@ -352,7 +357,7 @@
         if order.count > before:
             last.raised_at = now
         if outcome is CloudOutcome.CONFLICT and order.reclaimable:
-            self._exhausted_until[order.service, order.domain] = now + DRY_S
+            self._exhausted_until[order.service, order.domain] = now + EXHAUSTED_S
         _LOG.info(
             "endpoints ordered",
             extra={
@@ -373,6 +378,6 @@
 
 
 def _scaled_services(configuration: Configuration) -> list[ServiceName]:
-    """Return the services whose endpoints this system orders."""
+    """Return the names of the services that have scaling limits."""
     services = configuration.services.values()
     return [service.name for service in services if service.scaling is not None]
--- a/poplarrelay/entry/tests/test_backlogs.py
+++ b/poplarrelay/entry/tests/test_backlogs.py
@@ -10,8 +10,8 @@
 from poplarrelay.entry.backlog_client import SILENT_S, BacklogClient, choose_coordinator
 from poplarrelay.entry.backlogs import (
     DOWN_S,
-    FORGET_S,
-    KEPT_TOKENS,
+    EVICTION_TOKENS,
+    PROMPT_EXPIRY_S,
     BacklogTable,
     BacklogView,
     Placement,
@@ -71,10 +71,10 @@
     # engine that seems busy for ever would get no prompts any more.
     table = BacklogTable()
     table.add_prompt("a", placed(1, 50_000), 0.0)
-    table.forget([E], FORGET_S / 2)
+    table.forget([E], PROMPT_EXPIRY_S / 2)
     assert table.view("c", E, (), 1.0).tokens == 50_000
-    table.forget([E], FORGET_S + 0.1)
-    assert table.view("c", E, (), FORGET_S + 0.1).tokens == 0
+    table.forget([E], PROMPT_EXPIRY_S + 0.1)
+    assert table.view("c", E, (), PROMPT_EXPIRY_S + 0.1).tokens == 0
 
 
 def test_engine_that_one_node_finds_gone_is_left_alone_by_all():
@@ -132,7 +132,7 @@
     view = table.view("n", E, ("a", "b"), 0.0)
     assert view.cached_tokens_at(prefix) == 5_000
     assert table.view("n", E, ("x", "b"), 0.0).cached_tokens_at(prefix) == 0
-    table.add_prompt("n", placed(2, 10, ("c",), KEPT_TOKENS + 1), 0.0)
+    table.add_prompt("n", placed(2, 10, ("c",), EVICTION_TOKENS + 1), 0.0)
     assert table.view("n", E, ("a", "b"), 0.0).cached_tokens_at(prefix) == 0
 
 
--- a/poplarrelay/entry/tests/test_crashes.py
+++ b/poplarrelay/entry/tests/test_crashes.py
@@ -15,9 +15,9 @@
     ANSWER_MEMORY_S,
     BLOCKING_CRASHES,
     CRASH_MEMORY_S,
-    MOST_RECORDS,
-    MOST_RECORDS_SENT,
-    MOST_RUNS,
+    MAX_RECORDS,
+    MAX_RECORDS_SENT,
+    MAX_RUNS,
     CrashTable,
 )
 from poplarrelay.entry.gossip import MAX_DATAGRAM_BYTES
@@ -110,18 +110,18 @@
     # Guards against unbounded memory and against evictions across teams.
     table = CrashTable()
     crash(table, RUNS, 100.0)
-    for number in range(3 * MOST_RECORDS):
+    for number in range(3 * MAX_RECORDS):
         name = RequestFingerprint(f"{number:024x}")
         table.note_crash(OTHER, name, RUNS[0], 101.0)
         table.note_answer(OTHER, name, 101.0)
     assert blocked(table, 102.0)
-    assert len(table.records) <= MOST_RECORDS + 1
+    assert len(table.records) <= MAX_RECORDS + 1
 
 
 def test_request_with_most_crashes_is_evicted_last():
     table = CrashTable()
     crash(table, RUNS[:2], 100.0)
-    for number in range(3 * MOST_RECORDS):
+    for number in range(3 * MAX_RECORDS):
         name = RequestFingerprint(f"{number:024x}")
         table.note_crash(TEAM, name, RUNS[0], 101.0)
     crash(table, RUNS[2:], 102.0)
@@ -142,11 +142,11 @@
 def test_news_of_crashes_is_bounded_and_ends_once_sent():
     network = make_network(9, settle_s=2.0)
     table = network.crashes[network.alive[0]]
-    for number in range(10 * MOST_RECORDS_SENT):
+    for number in range(10 * MAX_RECORDS_SENT):
         name = RequestFingerprint(Random(number).randbytes(12).hex())
         table.note_crash(TEAM, name, RUNS[0], network.now)
     sent = table.outgoing(network.now)
-    assert len(sent) == MOST_RECORDS_SENT
+    assert len(sent) == MAX_RECORDS_SENT
     assert len(orjson.dumps(sent)) < MAX_DATAGRAM_BYTES
     for _ in network.run(30.0):
         pass
@@ -161,7 +161,7 @@
         other.receive(one.outgoing(100.0 + number), "one", 100.0 + number)
     for table in (one, other):
         (record,) = table.records
-        assert len(record.crashes) <= MOST_RUNS
+        assert len(record.crashes) <= MAX_RUNS
         assert blocked(table, 200.0)
 
 
