--- a/poplarrelay/entry/tests/test_backlogs.py
+++ b/poplarrelay/entry/tests/test_backlogs.py
@@ -1,4 +1,4 @@
-"""Prompts in line at engines: who keeps count, and what callers get by it."""
+"""Queued prompts at engines: their coordinators, and the first events of callers."""
 
 import asyncio
 import itertools
@@ -26,7 +26,7 @@
 TARGET_S = 0.5
 
 
-def placed(number, tokens, parts=(), whole=0):
+def make_placement(number, tokens, parts=(), whole=0):
     return Placement(E, RequestId(f"r{number}"), tokens, parts, whole)
 
 
@@ -38,12 +38,12 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_long_prompts_of_other_nodes_do_not_hold_up_callers(seed):
-    # Callers of six nodes ask five engines for over half of what they read. Single
-    # prompts take an engine half a second. Each node knows its own prompts at once and
-    # the others' loads after 0.4 s, so short prompts go behind another node's long
-    # one: 88 to 90 of 100 callers have their first event in time, and 97 where nodes
-    # ask what is in line. 95 are aimed at.
+def test_long_prompts_of_other_nodes_do_not_delay_callers(seed):
+    # Callers of six nodes use more than half of the prefill capacity of five engines,
+    # and single prompts take an engine half a second. Nodes receive each other's loads
+    # after 0.4 s, so they queue short prompts behind long ones of other nodes: 88 to 90
+    # of 100 callers get their first event in time. With requests to the coordinators it
+    # is 97. The target is 95.
     alone, asking = (
         PrefillSimulation(6, (60_000.0,) * 5, asks=asks, seed=seed)
         for asks in (False, True)
@@ -53,10 +53,11 @@
     assert share_in_time(alone) < 0.95 <= share_in_time(asking)
 
 
-def test_prompts_in_line_count_until_they_begin():
+def test_queued_prompts_count_until_their_first_event():
+    # Guards against queues that still count prompts after their end.
     table = BacklogTable()
-    table.add_prompt("a", placed(1, 5_000), 0.0)
-    table.add_prompt("b", placed(2, 3_000), 0.1)
+    table.add_prompt("a", make_placement(1, 5_000), 0.0)
+    table.add_prompt("b", make_placement(2, 3_000), 0.1)
     assert table.view("c", E, (), 0.1).tokens == 8_000
     assert table.view("a", E, (), 0.1).tokens == 3_000
     table.remove_prompt(E, RequestId("r1"), PromptEnd.BEGAN, 0.2)
@@ -66,39 +67,39 @@
     assert table.view("c", E, (), 0.2).tokens == 0
 
 
-def test_prompt_of_a_node_that_is_gone_leaves_the_line():
-    # The node that sent it was killed, and nobody says that the prompt has begun. An
-    # engine that seems busy for ever would get no prompts any more.
+def test_prompt_of_a_killed_node_is_removed_from_the_queue():
+    # A killed node does not report that its prompt has begun. If the prompt stayed
+    # queued, the engine would seem busy for ever and get no more prompts.
     table = BacklogTable()
-    table.add_prompt("a", placed(1, 50_000), 0.0)
+    table.add_prompt("a", make_placement(1, 50_000), 0.0)
     table.forget([E], PROMPT_EXPIRY_S / 2)
     assert table.view("c", E, (), 1.0).tokens == 50_000
     table.forget([E], PROMPT_EXPIRY_S + 0.1)
     assert table.view("c", E, (), PROMPT_EXPIRY_S + 0.1).tokens == 0
 
 
-def test_engine_that_one_node_finds_gone_is_left_alone_by_all():
-    # An engine crashes, and has nothing in line: it would be the best choice of every
-    # node until the list of endpoints shows it. One node's request finds it gone.
+def test_engine_that_one_node_finds_gone_is_avoided_by_all_nodes():
+    # A crashed engine has no queued prompts, so every node would choose it until the
+    # list of endpoints shows the crash. The request of one node finds it gone.
     table = BacklogTable()
-    table.add_prompt("a", placed(1, 5_000), 0.0)
+    table.add_prompt("a", make_placement(1, 5_000), 0.0)
     table.remove_prompt(E, RequestId("r1"), PromptEnd.ENGINE_GONE, 0.1)
     assert table.view("b", E, (), 0.2).down
-    # After a while one is let try, and tells that it is back.
+    # After DOWN_S, a node tries the engine again and reports that it works.
     assert not table.view("b", E, (), 0.1 + DOWN_S).down
-    table.add_prompt("b", placed(2, 5_000), 2.0)
+    table.add_prompt("b", make_placement(2, 5_000), 2.0)
     table.remove_prompt(E, RequestId("r2"), PromptEnd.BEGAN, 2.1)
     assert not table.view("c", E, (), 2.1).down
 
 
-def test_speed_is_learned_from_work_and_time():
-    # An engine reads 61,800 tokens a second. Prompts come while others are in line;
-    # the time to a first event is that of all before it.
+def test_prefill_speed_is_measured_with_queued_prompts():
+    # The engine processes 61,800 tokens per second. Prompts arrive while others are
+    # queued, so the time to a first event includes the prefill of those before it.
     table = BacklogTable()
     now = 0.0
     for number in range(12):
-        table.add_prompt("a", placed(2 * number, 6_000), now)
-        table.add_prompt("b", placed(2 * number + 1, 12_000), now)
+        table.add_prompt("a", make_placement(2 * number, 6_000), now)
+        table.add_prompt("b", make_placement(2 * number + 1, 12_000), now)
         table.remove_prompt(
             E, RequestId(f"r{2 * number}"), PromptEnd.BEGAN, now + 6_000 / 61_800
         )
@@ -109,34 +110,36 @@
 
 
 @given(st.lists(st.floats(1e-9, 1e9), max_size=4))
-def test_a_freeze_does_not_spoil_the_speed(absurd):
+def test_outliers_do_not_change_the_prefill_speed(outliers):
+    # Guards against speeds that are wrong after a pause of the node's process.
     speed = PrefillSpeed()
     for _ in range(7):
         speed.note(10_000, 0.2)
-    for took_s in absurd:
+    for took_s in outliers:
         speed.note(10_000, took_s)
     assert speed.tokens_per_s == 50_000
 
 
-def test_speed_is_not_known_from_short_prompts():
+def test_short_prompts_give_no_prefill_speed():
+    # The time to their first event mostly depends on the network and the batch.
     speed = PrefillSpeed()
     for _ in range(20):
         speed.note(40, 0.02)
     assert speed.tokens_per_s == 0.0
 
 
-def test_parts_are_kept_until_others_take_their_room():
+def test_parts_count_as_cached_until_later_prompts_evict_them():
     table = BacklogTable()
     prefix = (PromptPart("a", 2_000), PromptPart("b", 3_000), PromptPart("own", 10))
-    table.add_prompt("n", placed(1, 5_010, ("a", "b"), 5_010), 0.0)
+    table.add_prompt("n", make_placement(1, 5_010, ("a", "b"), 5_010), 0.0)
     view = table.view("n", E, ("a", "b"), 0.0)
     assert view.cached_tokens_at(prefix) == 5_000
     assert table.view("n", E, ("x", "b"), 0.0).cached_tokens_at(prefix) == 0
-    table.add_prompt("n", placed(2, 10, ("c",), EVICTION_TOKENS + 1), 0.0)
+    table.add_prompt("n", make_placement(2, 10, ("c",), EVICTION_TOKENS + 1), 0.0)
     assert table.view("n", E, ("a", "b"), 0.0).cached_tokens_at(prefix) == 0
 
 
-def test_nodes_agree_on_keepers_and_lost_ones_move_only_their_engines():
+def test_lost_coordinator_moves_only_its_own_engines():
     nodes = {NodeId(f"n{i}"): f"10.0.0.{i}" for i in range(9)}
     engines = [EndpointId(f"e{i}") for i in range(200)]
     before = {e: choose_coordinator(e, nodes) for e in engines}
@@ -147,42 +150,42 @@
             assert choose_coordinator(engine, left) == before[engine]
 
 
-class Path:
-    """Carries messages between surveys in one event loop."""
+class Network:
+    """Carries messages between backlog clients in one event loop."""
 
     def __init__(self):
         self.clients = {}
         self.down = set()
         self.sent = []
 
-    def carrier(self, sender):
-        path = self
+    def sender_for(self, sender):
+        network = self
 
-        class End:
+        class Sender:
             def send_backlog(self, host, message):
-                path.sent.append((sender, host, message[0]))
-                if host not in path.down and sender not in path.down:
+                network.sent.append((sender, host, message[0]))
+                if host not in network.down and sender not in network.down:
                     loop = asyncio.get_running_loop()
-                    loop.call_soon(path.clients[host].receive, sender, message)
+                    loop.call_soon(network.clients[host].receive, sender, message)
 
-        return End()
+        return Sender()
 
 
 def make_backlog_clients(count):
-    path = Path()
+    network = Network()
     nodes = {NodeId(f"n{i}"): f"h{i}" for i in range(count)}
     clock = itertools.count()
     for host in nodes.values():
-        path.clients[host] = BacklogClient(
-            host, lambda: nodes, path.carrier(host), lambda: next(clock) * 1e-4
+        network.clients[host] = BacklogClient(
+            host, lambda: nodes, network.sender_for(host), lambda: next(clock) * 1e-4
         )
-    return path
+    return network
 
 
-def test_what_one_node_places_the_others_are_told():
+def test_other_nodes_receive_the_prompts_that_one_node_places():
     async def scenario():
-        path = make_backlog_clients(3)
-        first, second, third = path.clients.values()
+        network = make_backlog_clients(3)
+        first, second, third = network.clients.values()
         engines = [EndpointId(f"e{i}") for i in range(6)]
         for engine in engines:
             first.add_prompt(Placement(engine, RequestId(f"r-{engine}"), 9_000, ("p",)))
@@ -199,23 +202,23 @@
     asyncio.run(scenario())
 
 
-def test_keeper_that_does_not_answer_holds_up_one_request():
-    # A node is cut off, and the others do not know it yet. A request that asks it
-    # waits some hundredths of a second and goes by what the others tell; the next
-    # ones do not ask it.
+def test_coordinator_that_does_not_answer_delays_one_request():
+    # A coordinator is unreachable, and the other nodes do not know it yet. The first
+    # request waits some hundredths of a second for its reply and then uses the replies
+    # of the other coordinators. Later requests do not ask it.
     async def scenario():
-        path = make_backlog_clients(3)
-        asker = path.clients["h0"]
+        network = make_backlog_clients(3)
+        asker = network.clients["h0"]
         engines = [EndpointId(f"e{i}") for i in range(12)]
-        path.down.add("h2")
+        network.down.add("h2")
         views = await asker.ask(engines, ())
         missing = [e for e in engines if e not in views]
         assert missing
         assert len(missing) < 12
-        path.sent.clear()
+        network.sent.clear()
         await asker.ask(engines, ())
-        assert all(host != "h2" for _, host, _ in path.sent)
-        path.down.clear()
+        assert all(host != "h2" for _, host, _ in network.sent)
+        network.down.clear()
         asker.monotonic = lambda: SILENT_S + 1.0
         assert len(await asker.ask(engines, ())) == 12
 
@@ -235,15 +238,15 @@
         ["out", "e", "r", "what"],
     ],
 )
-def test_message_that_is_none_is_told_as_such(message):
+def test_malformed_message_is_rejected(message):
     backlog_client = make_backlog_clients(1).clients["h0"]
     with pytest.raises((ValueError, TypeError)):
         backlog_client.receive("h9", message)
     assert backlog_client.table.backlogs == {}
 
 
-def test_views_and_placements_survive_the_wire():
+def test_decoded_views_and_placements_equal_the_encoded_ones():
     view = BacklogView(E, 12, 3.5, 1, down=True)
     assert BacklogView.decode(view.encode()) == view
-    told = placed(1, 12, ("a", "b"), 40)
-    assert Placement.decode(told.encode()) == told
+    placement = make_placement(1, 12, ("a", "b"), 40)
+    assert Placement.decode(placement.encode()) == placement
--- a/poplarrelay/entry/tests/test_crashes.py
+++ b/poplarrelay/entry/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Blocking of requests that crash endpoints, and its spread between nodes."""
+"""Blocking of requests that crash endpoints, and the exchange of crash records."""
 
 from __future__ import annotations
 
@@ -51,11 +51,12 @@
     )
 
 
-def test_request_is_blocked_by_crashes_of_as_many_runs():
+def test_request_is_blocked_when_enough_runs_have_crashed():
+    # Guards against blocking a request for several failures with the same run.
     table = CrashTable()
     crash(table, RUNS[:-1], 100.0)
     assert not blocked(table, 100.0)
-    # Several copies that fail with the same run are one crash.
+    # Several failures with the same run are one crash.
     crash(table, RUNS[:-1], 101.0)
     assert not blocked(table, 101.0)
     crash(table, RUNS[-1:], 102.0)
@@ -76,7 +77,8 @@
 
 
 def test_complete_answer_unblocks_a_request():
-    # Guards against blocking harmless requests that ran beside the one that crashes.
+    # Guards against blocking harmless requests that run at the same time as the one
+    # that crashes endpoints.
     table = CrashTable()
     crash(table, RUNS, 100.0)
     table.note_answer(TEAM, FINGERPRINT, 101.0)
@@ -84,7 +86,7 @@
 
 
 def test_request_that_is_answered_often_is_not_blocked_by_simultaneous_crashes():
-    # Guards against refusing a request that many callers repeat, such as an empty body.
+    # Guards against refusing a request that many callers send, such as an empty body.
     table = CrashTable()
     table.note_answer(TEAM, FINGERPRINT, 99.0)
     crash(table, RUNS, 100.0)
@@ -96,6 +98,7 @@
 
 
 def test_answer_at_a_peer_unblocks_a_request_at_all_nodes():
+    # Guards against a node that ignores an answer which only a peer has seen.
     one, other = CrashTable(), CrashTable()
     other.note_answer(TEAM, FINGERPRINT, 99.0)
     crash(one, RUNS, 100.0)
@@ -129,8 +132,8 @@
 
 
 @pytest.mark.parametrize("nodes", [9, 61, 195])
-def test_all_nodes_know_of_the_third_crash_in_time(nodes):
-    # Guards against nodes in other cells that relay requests blocked elsewhere.
+def test_all_nodes_block_the_request_soon_after_the_third_crash(nodes):
+    # Guards against nodes in other cells that still relay a blocked request.
     network = make_network(nodes, loss=0.025, settle_s=4.0)
     for host, run in zip(network.alive[:: nodes // 3], RUNS, strict=False):
         crash(network.crashes[host], [run], network.now)
@@ -139,7 +142,8 @@
     assert all_block_in_time(network, [network.crashes[later]])
 
 
-def test_news_of_crashes_is_bounded_and_ends_once_sent():
+def test_crash_records_are_sent_in_bounded_datagrams_and_not_forever():
+    # Guards against datagrams that are too large and against endless repetition.
     network = make_network(9, settle_s=2.0)
     table = network.crashes[network.alive[0]]
     for number in range(10 * MAX_RECORDS_SENT):
@@ -165,8 +169,8 @@
         assert blocked(table, 200.0)
 
 
-def test_crashes_that_no_longer_count_are_not_passed_on_again():
-    # Guards against expired crashes that nodes keep sending back to each other.
+def test_crashes_that_no_longer_count_are_not_accepted_again():
+    # Guards against expired crashes that nodes send to each other endlessly.
     one, other = CrashTable(), CrashTable()
     crash(one, RUNS, 100.0)
     other.receive(one.outgoing(100.0), "one", 100.0)
@@ -176,8 +180,8 @@
     assert other.records == []
 
 
-def test_node_without_crash_records_accepts_news_of_them(caplog, monkeypatch):
-    # Guards against datagrams that nodes of the previous version cannot read.
+def test_node_without_crash_records_accepts_datagrams_with_them(caplog, monkeypatch):
+    # Guards against datagrams that nodes of the previous version cannot decode.
     network = make_network(2, settle_s=2.0)
     one, other = network.alive
     network.nodes[other]._crashes = None
@@ -192,13 +196,13 @@
 
 
 @pytest.mark.parametrize(
-    "told", [[7], [["f"]], [["f", "alpha", 3, None]], [["f", "a", [["r", "x"]], 0]]]
+    "records", [[7], [["f"]], [["f", "alpha", 3, None]], [["f", "a", [["r", "x"]], 0]]]
 )
-def test_malformed_news_of_crashes_changes_nothing(told, caplog):
+def test_malformed_crash_records_change_nothing(records, caplog):
     network = make_network(2, settle_s=2.0)
     one, other = network.alive
     data = network.nodes[one]._encode(
-        [], network.nodes[one]._announcement(), [], crashes=told
+        [], network.nodes[one]._announcement(), [], crashes=records
     )
     network.nodes[other].datagram_received(data, (one, 0))
     assert "unreadable news" in caplog.messages
@@ -215,7 +219,8 @@
         max_size=30,
     )
 )
-def test_nodes_agree_whatever_the_order_of_news(steps):
+def test_nodes_agree_for_any_order_of_crashes_and_answers(steps):
+    # Guards against a merge whose result depends on the order of records.
     tables = [CrashTable() for _ in range(3)]
     now = 100.0
     for kind, index, number in steps:
--- a/poplarrelay/entry/tests/test_crashing_requests.py
+++ b/poplarrelay/entry/tests/test_crashing_requests.py
@@ -25,13 +25,13 @@
 CRASHING_BODY = b"a body that no endpoint survives"
 #: Seconds after the third crash within which all nodes must block the request.
 SPREAD_S = 3.0
-#: Attempts that may still reach endpoints after that.
+#: Attempts that can still reach endpoints after that.
 MOST_LATE_ATTEMPTS = 3
 ENDPOINTS = 8
 
 
 def arrivals(site: EntrySite) -> list[ReceivedRequest]:
-    """Return the crashing requests that endpoints have begun to run, in order."""
+    """Return the crashing requests that endpoints have begun to run, by time."""
     found = [
         request
         for runner in site.runners.values()
@@ -74,7 +74,7 @@
         ("/brief/x", STREAMS),
     ],
 )
-def test_request_that_crashes_endpoints_is_not_sent_on(path, service):
+def test_request_that_crashes_endpoints_is_no_longer_relayed(path, service):
     # Guards against one request that crashes endpoint after endpoint.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
@@ -88,8 +88,8 @@
     run_scenario(scenario)
 
 
-def test_node_that_starts_later_knows_the_requests_that_crash_endpoints():
-    # Guards against a new node that relays requests blocked elsewhere.
+def test_node_that_starts_later_blocks_the_requests_that_crash_endpoints():
+    # Guards against a new node that relays requests blocked at other nodes.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             await add_crashing_endpoints(site, CALLS)
@@ -108,7 +108,7 @@
 
 
 def test_other_requests_of_the_caller_are_served_while_one_is_refused():
-    # Guards against blocking requests that ran at the same endpoints.
+    # Guards against blocking other requests that run at the same endpoints.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await add_crashing_endpoints(site, CALLS)
@@ -128,7 +128,7 @@
 
 
 def test_calls_that_all_endpoints_run_are_served_after_all_have_crashed():
-    # Guards against blocking a harmless request in flight at each of them.
+    # Guards against blocking a harmless request that is in flight at each endpoint.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             for number in range(4):
@@ -201,6 +201,7 @@
 
 
 def test_refusal_shows_that_the_request_has_not_run_and_when_to_retry():
+    # Guards against a refusal that tells the caller to retry while it is blocked.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await add_crashing_endpoints(site, CALLS)
@@ -219,7 +220,8 @@
 
 @pytest.mark.processes
 def test_node_processes_do_not_relay_a_request_that_crashes_endpoints(tmp_path):
-    # Guards against a node process that misses or loses the crashes its peers report.
+    # Guards against a node process that does not receive its peers' crash records, or
+    # does not have them after a restart.
     async def scenario():
         async with run_entry_site(nodes=0) as site:
             await site.start_processes("abc", tmp_path)
--- a/poplarrelay/entry/tests/test_decisions.py
+++ b/poplarrelay/entry/tests/test_decisions.py
@@ -41,11 +41,11 @@
 
 
 class TestChoice:
-    def test_full_endpoints_are_no_choice(self):
+    def test_full_endpoints_are_not_chosen(self):
         rows = [endpoint("a", running=8), endpoint("b", elsewhere=8)]
         assert choose_endpoint(rows, criteria(), 0.0, Random(1)) is None
 
-    def test_avoided_endpoint_is_used_only_alone(self):
+    def test_avoided_endpoint_is_used_only_if_no_other_is_free(self):
         bad, good = endpoint("a"), endpoint("b", running=5)
         bad.health.avoided_until = 10.0
         for seed in range(20):
@@ -59,24 +59,28 @@
         for seed in range(20):
             assert chosen(rows, criteria(tried=("a",)), seed=seed).endpoint == "b"
 
-    def test_nodes_agree_on_a_prompts_home(self):
-        # Nodes do not ask each other. A lost endpoint moves only its own prompts.
+    def test_nodes_agree_on_the_affinity_endpoint_of_a_prompt(self):
+        # Nodes choose it without communication. The loss of an endpoint moves only the
+        # prompts that have their affinity there.
         rows = [endpoint(f"e{i}") for i in range(5)]
         keys = [f"k{i}" for i in range(200)]
 
-        def homes(rows):
+        def find_affinity_endpoints(rows):
             return {key: chosen(rows, criteria(key, 9000, 5000)) for key in keys}
 
-        before, again = homes(rows), homes(list(reversed(rows)))
+        before, again = (
+            find_affinity_endpoints(rows),
+            find_affinity_endpoints(list(reversed(rows))),
+        )
         assert all(before[k] is again[k] for k in keys)
-        after = homes(rows[1:])
+        after = find_affinity_endpoints(rows[1:])
         moved = [k for k in keys if before[k] is not after[k]]
         assert all(before[k] is rows[0] for k in moved)
 
-    def test_hot_prompt_outgrows_its_home(self):
-        # One prompt gets all requests. Its home saves reading 5,000 tokens, and each
-        # request there counts 500: the eleventh goes elsewhere, where what the home
-        # keeps is fetched.
+    def test_frequent_prompt_is_sent_to_more_than_its_affinity_endpoint(self):
+        # All requests share one part. The cache of the affinity endpoint saves 5,000
+        # tokens, and each request there counts as 500. The eleventh request is sent to
+        # another endpoint, which fetches the shared part.
         rows = [endpoint(f"e{i}", slots=64) for i in range(3)]
         order = []
         for _ in range(30):
@@ -84,21 +88,23 @@
             assert choice is not None
             choice.endpoint.running += 1
             order.append(choice)
-        home = order[0].endpoint
-        assert all(c.endpoint is home and not c.fetch_from for c in order[:10])
+        affinity_endpoint = order[0].endpoint
+        assert all(
+            c.endpoint is affinity_endpoint and not c.fetch_from for c in order[:10]
+        )
         assert {c.endpoint.endpoint for c in order} == {"e0", "e1", "e2"}
-        away = [choice for choice in order if choice.endpoint is not home]
-        assert all(choice.fetch_from == home.address for choice in away)
+        away = [choice for choice in order if choice.endpoint is not affinity_endpoint]
+        assert all(choice.fetch_from == affinity_endpoint.address for choice in away)
 
-    def test_long_prompts_in_line_send_the_next_one_elsewhere(self):
+    def test_endpoint_with_long_queued_prompts_is_not_chosen(self):
         rows = [endpoint("a", prefill_tokens=40_000), endpoint("b", running=4)]
         assert chosen(rows, criteria("k", 9000, 1000)).endpoint == "b"
 
-    def test_many_nodes_with_old_news_do_not_all_choose_the_same_endpoint(self):
-        # 61 nodes hear of each other's requests a second late, and see one engine
-        # that has just booted beside 40 with five requests each. When all took the
-        # least loaded one, it got every request of that second, and its callers
-        # waited seconds for their first event.
+    def test_many_nodes_with_outdated_loads_choose_different_endpoints(self):
+        # 61 nodes receive each other's loads a second late. One engine has just booted,
+        # and 40 others have five requests each. When all nodes chose the least loaded
+        # engine, it got every request of that second, and its callers waited seconds
+        # for their first event.
         rows = [endpoint(f"e{i}", slots=24, elsewhere=5) for i in range(40)]
         rows.append(endpoint("new", slots=24))
         counts: dict[str, int] = {}
@@ -108,7 +114,7 @@
         assert counts["new"] < 60
         assert len(counts) > 30
 
-    def test_near_endpoint_goes_first_among_equals(self):
+    def test_local_endpoint_is_chosen_among_equal_ones(self):
         rows = [endpoint("a", SOUTH), endpoint("b", NORTH)]
         assert chosen(rows, criteria()).endpoint == "b"
 
@@ -120,13 +126,13 @@
         assert note_failure(rows[0], rows, 0.1, certain=False)
         assert rows[0].health.avoided_until > 0.1
 
-    def test_dead_endpoint_is_avoided_at_once(self):
+    def test_dead_endpoint_is_avoided_after_one_failure(self):
         rows = [endpoint("a"), endpoint("b")]
         assert note_failure(rows[0], rows, 0.0, certain=True)
 
-    def test_service_that_often_fails_is_not_avoided_as_a_whole(self):
-        # All endpoints answer one call in seven with an error of their own. None of
-        # them stands out.
+    def test_endpoints_are_not_avoided_if_all_of_a_service_fail_as_often(self):
+        # All endpoints answer one request in seven with an error of their own. To avoid
+        # some of them would only add load to the others.
         rows = [endpoint(f"e{i}") for i in range(4)]
         rng = Random(7)
         avoided = 0
@@ -138,9 +144,9 @@
                 note_success(row)
         assert avoided < 40
 
-    def test_grey_endpoint_is_found(self):
-        # One endpoint fails nearly half of its requests; its own health check and
-        # the others are good.
+    def test_endpoint_that_fails_more_often_than_the_others_is_avoided(self):
+        # One endpoint fails nearly half of its requests, while its own health check and
+        # the other endpoints are good.
         rows = [endpoint(f"e{i}") for i in range(4)]
         rng = Random(7)
         now, avoided_s = 0.0, 0.0
@@ -162,20 +168,20 @@
             FirstEventForecast(0.0, queue_s=0.5, prefill_s=0.2, target_s=0.8)
         )
 
-    def test_prompt_that_would_be_late_is_told_when_to_come_back(self):
+    def test_prompt_that_would_be_late_is_refused_with_a_time_to_retry(self):
         late = FirstEventForecast(0.0, queue_s=1.5, prefill_s=0.2, target_s=0.8)
         assert not starts_in_time(late)
         again = retry_after_queue(late)
         assert starts_in_time(FirstEventForecast(0.0, 1.5 - again, 0.2, 0.8))
 
-    def test_what_has_waited_has_less_time_in_line(self):
+    def test_time_that_a_prompt_has_waited_shortens_its_permitted_queue(self):
         assert not starts_in_time(
             FirstEventForecast(0.5, queue_s=0.5, prefill_s=0.2, target_s=0.8)
         )
 
-    def test_longest_prompts_are_served_where_the_line_is_short(self):
-        # A prompt takes an engine longer than its target. It is late wherever it
-        # goes; refused for that, it would never be served.
+    def test_longest_prompts_are_served_if_the_queue_is_short(self):
+        # The prefill of this prompt takes longer than its target, so it is late at
+        # every engine. If prompts were refused for that, it would never be served.
         assert starts_in_time(
             FirstEventForecast(0.0, queue_s=0.2, prefill_s=1.5, target_s=0.8)
         )
@@ -185,10 +191,10 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_callers_are_served_in_time_after_the_loss_of_engines(self, seed):
-        # Two engines of five are lost, and prompts of a little more than the others
-        # read keep coming. All are sent: 12 to 56 of 100 callers have their first
-        # event in time, since the line grows and grows. Where those that would be
-        # late are refused, 87 to 92 do, and 4 to 8 are told when to come back.
+        # Two engines of five are lost, and callers send a little more tokens than the
+        # other three can process. If all prompts are sent, the queues grow, and 12 to
+        # 56 of 100 callers get their first event in time. If late prompts are refused,
+        # 87 to 92 do, and 4 to 8 get a time to retry.
         def admits(choice):
             return starts_in_time(
                 FirstEventForecast(0.0, choice.queue_s, choice.prefill_s, 0.8)
@@ -210,8 +216,8 @@
 
 
 class TestBudget:
-    def test_nodes_together_stay_within_the_bound(self):
-        # Six nodes cannot talk to each other, and every request at each fails.
+    def test_retries_of_all_nodes_together_stay_within_the_bound(self):
+        # Six nodes cannot reach each other, and every request at each of them fails.
         budgets = [RetryBudget(0.2, 58, 10) for _ in range(6)]
         taken = 0
         for step in range(100):
@@ -227,8 +233,8 @@
         assert budget.take(1.0, nodes=1)
         assert not budget.take(20.0, nodes=1)
 
-    def test_reloaded_settings_do_not_renew_a_spent_budget(self):
-        # Operators send SIGHUP again and again while a service fails.
+    def test_reloaded_settings_do_not_refill_a_used_budget(self):
+        # Operators send SIGHUP several times while a service fails.
         value = {
             "node": "a",
             "failure_domain": "north",
@@ -254,7 +260,7 @@
 
 class TestWaiting:
     @pytest.mark.parametrize("remaining_s", [0.01, 0.5, 10.0])
-    def test_nobody_waits_longer_than_the_answer_is_worth(self, remaining_s):
+    def test_wait_for_a_slot_is_bounded_by_target_and_deadline(self, remaining_s):
         route = Route(
             "r",
             "h",
@@ -269,10 +275,10 @@
         assert wait <= 0.2
         assert wait <= remaining_s / 2
 
-    def test_callers_come_back_one_after_the_other(self):
+    def test_refused_callers_get_increasing_times_to_retry(self):
         times = [retry_after(waiting, 10.0, 30.0) for waiting in range(5)]
         assert times == sorted(times)
         assert times[4] - times[0] == pytest.approx(0.4)
 
-    def test_nobody_is_sent_away_for_longer_than_it_would_stay_away(self):
+    def test_time_to_retry_is_bounded_by_the_remaining_time(self):
         assert retry_after(1000, 1.0, 3.0) == 1.0
--- a/poplarrelay/entry/tests/test_duties_machine.py
+++ b/poplarrelay/entry/tests/test_duties_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over the duties: any order of renewals, acts, freezes and deals."""
+"""State machine test of duty leases: renewals, actions, pauses and rebalances."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -11,38 +11,40 @@
 
 
 class Group:
-    """The store's group: one owner of the duty, and a generation."""
+    """The store's group: its members, the holder of the duty and a generation."""
 
     def __init__(self):
         self.generation = 0
-        self.owner = None
-        self.seen = {}
+        self.holder = None
+        self.renewed_at = {}
 
     def join(self, node, now):
-        for member in [m for m, at in self.seen.items() if now - at > TTL_S]:
-            del self.seen[member]
+        for member in [m for m, at in self.renewed_at.items() if now - at > TTL_S]:
+            del self.renewed_at[member]
             self.generation += 1
-            if self.owner == member:
-                self.owner = None
-        if node not in self.seen:
+            if self.holder == member:
+                self.holder = None
+        if node not in self.renewed_at:
             self.generation += 1
-        self.seen[node] = now
-        if self.owner is None:
-            self.owner = node
-        return self.owner == node, self.generation
+        self.renewed_at[node] = now
+        if self.holder is None:
+            self.holder = node
+        return self.holder == node, self.generation
 
-    def deal(self):
+    def rebalance(self):
         self.generation += 1
-        if self.seen:
-            self.owner = sorted(self.seen)[self.generation % len(self.seen)]
+        if self.renewed_at:
+            self.holder = sorted(self.renewed_at)[
+                self.generation % len(self.renewed_at)
+            ]
 
 
 class DutyMachine(RuleBasedStateMachine):
-    """Nodes renew, act, freeze and restart; the platform checks their tokens.
+    """Nodes renew, act, pause and restart; the platform checks their fencing tokens.
 
-    Time passes between steps. What must hold: no two nodes use one token; nobody
-    acts on a lease that the store has passed on for want of renewals; and no node
-    acts, then another, then the first again, within the platform's bound.
+    Time passes between steps. Two nodes never use the same token. A node never acts
+    after the store has given its lease to another node for missing renewals. Within
+    the platform's bound, a node never acts before and after another node.
     """
 
     def __init__(self):
@@ -50,10 +52,10 @@
         self.now = 100.0
         self.group = Group()
         self.leases = {node: DutyLease(TTL_S, WAIT_S) for node in NODES}
-        self.dealt = dict.fromkeys(NODES, False)
+        self.rebalanced = dict.fromkeys(NODES, False)
         self.answers = []
         self.accepted = []
-        self.fence = -1
+        self.highest_token = -1
 
     def _lease(self):
         return DutyLease(TTL_S, WAIT_S, last_action_at=self.now)
@@ -66,7 +68,7 @@
     def renew(self, node):
         holds, generation = self.group.join(node, self.now)
         self.leases[node].renew(holds, generation, self.now)
-        self.dealt[node] = False
+        self.rebalanced[node] = False
 
     @rule(node=st.sampled_from(NODES), seconds=st.floats(0.01, 0.5))
     def renew_and_act(self, node, seconds):
@@ -75,19 +77,19 @@
         self.act(node)
 
     @rule(nodes=st.permutations(NODES), seconds=st.floats(0.01, 0.9))
-    def go_away_and_come_back(self, nodes, seconds):
-        """Let the duty go from one node to another and back."""
+    def move_duty_and_back(self, nodes, seconds):
+        """Move the duty from one node to another and back."""
         first, second, _ = nodes
         for node in (first, second, first):
             self.renew(node)
             for _ in range(len(NODES)):
-                if self.group.owner != node:
+                if self.group.holder != node:
                     self.rebalance()
             self.renew_and_act(node, seconds)
 
     @rule(node=st.sampled_from(NODES), seconds=st.floats(2.21, 3.0))
     def fail_to_renew(self, node, seconds):
-        """Let the others renew for longer than the store waits for a node."""
+        """Let only the other nodes renew after the lease of a node has expired."""
         self.now += seconds
         for other in NODES:
             if other != node:
@@ -100,8 +102,8 @@
 
     @rule()
     def rebalance(self):
-        self.group.deal()
-        self.dealt = dict.fromkeys(NODES, True)
+        self.group.rebalance()
+        self.rebalanced = dict.fromkeys(NODES, True)
 
     @rule(node=st.sampled_from(NODES))
     def freeze(self, node):
@@ -117,21 +119,21 @@
         lease = self.leases[node]
         if not lease.may_act(self.now):
             return
-        # Only a deal that nobody asked for may leave a holder with an old belief;
-        # a lease that lapses is given up before the store passes the duty on.
-        assert self.group.owner in (node, None) or self.dealt[node]
+        # A node stops using its lease before the lease expires at the store. Only
+        # after a rebalance can a node act that no longer has the duty.
+        assert self.group.holder in (node, None) or self.rebalanced[node]
         lease.record_action(self.now)
-        if lease.token < self.fence:
+        if lease.token < self.highest_token:
             lease.relinquish()
             return
-        self.fence = lease.token
+        self.highest_token = lease.token
         self.accepted.append((self.now, node, lease.token))
 
     @invariant()
     def no_two_nodes_share_a_token(self):
-        users: dict[int, str] = {}
+        holders: dict[int, str] = {}
         for _, node, token in self.accepted:
-            assert users.setdefault(token, node) == node
+            assert holders.setdefault(token, node) == node
 
     @invariant()
     def holders_do_not_alternate_within_the_bound(self):
