--- a/poplarrelay/entry/demand.py
+++ b/poplarrelay/entry/demand.py
@@ -43,7 +43,7 @@
     ----------
     arrivals : dict of ServiceName to deque of (float, float)
         Monotonic time and tokens of each recent request, by service.
-    unread : dict of ServiceName to float
+    uncached_shares : dict of ServiceName to float
         Moving share of prompt tokens that are uncached at the engines, by service.
 
     Notes
@@ -52,23 +52,24 @@
     when the endpoints are too few already. The demand of callers shows this seconds
     earlier, and it does not grow when answers become slow.
 
-    Only the uncached tokens of prompts count. Their number is known when a prompt is
-    sent to an engine. Prompts that are refused count with the mean share.
+    Only the uncached tokens of prompts count. Their number is known only when a prompt
+    is sent to an engine, so each admitted prompt counts with the moving share, also if
+    it is refused later.
     """
 
     arrivals: dict[ServiceName, deque[tuple[float, float]]] = field(
         default_factory=dict
     )
-    unread: dict[ServiceName, float] = field(default_factory=dict)
+    uncached_shares: dict[ServiceName, float] = field(default_factory=dict)
 
     def note(
         self, service: ServiceName, prompt_tokens: int, output_tokens: int, now: float
     ) -> None:
         """Count an admitted request."""
-        tokens = self.unread.get(service, 1.0) * prompt_tokens + output_tokens
+        tokens = self.uncached_shares.get(service, 1.0) * prompt_tokens + output_tokens
         self.arrivals.setdefault(service, deque()).append((now, tokens))
 
-    def note_unread(self, service: ServiceName, prompt: int, unread: int) -> None:
+    def note_unread(self, service: ServiceName, prompt: int, uncached: int) -> None:
         """Update the share of uncached tokens by a prompt that is sent to an engine.
 
         Parameters
@@ -77,12 +78,12 @@
             The service that the prompt is for.
         prompt : int
             Length of the prompt in tokens.
-        unread : int
+        uncached : int
             Uncached tokens of the prompt at the engine.
         """
-        previous = self.unread.get(service, 1.0)
-        share = min(1.0, unread / prompt)
-        self.unread[service] = previous + UNCACHED_WEIGHT * (share - previous)
+        previous = self.uncached_shares.get(service, 1.0)
+        share = min(1.0, uncached / prompt)
+        self.uncached_shares[service] = previous + UNCACHED_WEIGHT * (share - previous)
 
     def mean_tokens(self, service: ServiceName) -> float:
         """Return the mean tokens per recent request for a service, 0 if none."""
--- a/poplarrelay/entry/duty_lease.py
+++ b/poplarrelay/entry/duty_lease.py
@@ -19,9 +19,10 @@
 WAIT_MARGIN_S = 0.4
 
 #: Number of nodes that are candidates for the duties. Each candidate renews twice a
-#: second, and the platform charges for each call: with 195 candidates, a quarter of all
-#: calls were renewals. If half of all nodes are unreachable, all nine candidates are
-#: among them with a probability of one in five hundred.
+#: second, and the platform charges for each call: when all of 195 nodes were
+#: candidates, a quarter of all calls were renewals. If half of all nodes are
+#: unreachable, all nine candidates are among them with a probability of one in five
+#: hundred.
 CANDIDATES = 9
 
 
@@ -88,7 +89,8 @@
         without a new one. Therefore two terms never have the same token, and later
         terms have larger ones.
     held : bool
-        Whether the last answer of the store gave the duty to this node.
+        Whether the last answer of the store gave the duty to this node, and the node
+        has not relinquished it since.
     last_action_at : float
         Monotonic time of the last action. A process that has just started uses its
         start time, because it can have acted before a restart.
--- a/poplarrelay/entry/scaling.py
+++ b/poplarrelay/entry/scaling.py
@@ -67,8 +67,9 @@
 #: Share of the difference by which the needed number falls per second when the demand
 #: falls. It rises at once: late orders cost answers, early cancellations cost boots.
 FALLING_SHARE_PER_S = 0.06
-#: Seconds over which the mean number for on-demand endpoints is computed. A few long
-#: prompts change the demand of a small service by a third within seconds.
+#: Seconds over which the mean of the needed number is computed, which determines the
+#: on-demand endpoints. A few long prompts change the demand of a small service by a
+#: third within seconds.
 MEAN_NEEDED_S = 4.0
 
 
@@ -246,8 +247,8 @@
         Notes
         -----
         A reclaim of many endpoints takes all endpoints of a domain, and usually no new
-        ones are available there for some time. An order in other domains as soon as
-        the notice arrives uses its two seconds for a boot of four.
+        ones are available there for some time. Orders in other domains at the time of
+        the notice save its two seconds of a boot time of four seconds.
         """
         ordered = {
             domain: last.count
--- a/poplarrelay/entry/tests/test_backlogs.py
+++ b/poplarrelay/entry/tests/test_backlogs.py
@@ -26,8 +26,8 @@
 TARGET_S = 0.5
 
 
-def make_placement(number, tokens, parts=(), whole=0):
-    return Placement(E, RequestId(f"r{number}"), tokens, parts, whole)
+def make_placement(number, tokens, parts=(), length=0):
+    return Placement(E, RequestId(f"r{number}"), tokens, parts, length)
 
 
 def share_in_time(simulation):
--- a/poplarrelay/entry/tests/test_decisions.py
+++ b/poplarrelay/entry/tests/test_decisions.py
@@ -191,7 +191,7 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_callers_are_served_in_time_after_the_loss_of_engines(self, seed):
-        # Two engines of five are lost, and callers send a little more tokens than the
+        # Two engines of five are lost, and callers send slightly more tokens than the
         # other three can process. If all prompts are sent, the queues grow, and 12 to
         # 56 of 100 callers get their first event in time. If late prompts are refused,
         # 87 to 92 do, and 4 to 8 get a time to retry.
