--- a/bench/entry_safeguards.py
+++ b/bench/entry_safeguards.py
@@ -46,14 +46,14 @@
     Safeguard(
         "headers that are ours to set",
         "poplarrelay/platform/headers.py",
-        "            if name.lower() not in _OURS\n",
+        "            if name.lower() not in _SYSTEM_HEADERS\n",
         "",
         "test_calls.py",
     ),
     Safeguard(
         "headers that Connection cannot remove",
         "poplarrelay/platform/headers.py",
-        "        if name not in _KEPT and not name.startswith(_KEPT_PREFIX)\n",
+        "        if name not in _PROTECTED and not name.startswith(_OWN_PREFIX)\n",
         "",
         "test_calls.py",
     ),
@@ -187,8 +187,8 @@
     Safeguard(
         "whole events only",
         f"{ENTRY}/events.py",
-        "        whole, self._rest = content[:end], content[end:]\n",
-        '        whole, self._rest = content, b""\n',
+        "        complete, self._rest = content[:end], content[end:]\n",
+        '        complete, self._rest = content, b""\n',
         "test_streams.py",
     ),
     Safeguard(
--- a/poplarrelay/entry/__init__.py
+++ b/poplarrelay/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry node: one process in front of a platform's endpoints."""
+"""Entry node: a process that relays callers' requests to a platform's endpoints."""
--- a/poplarrelay/entry/__main__.py
+++ b/poplarrelay/entry/__main__.py
@@ -1,7 +1,7 @@
 """Run an entry node: ``python3 -m poplarrelay.entry --settings FILE``.
 
 The same as ``poplarrelay entry``, without loading the other commands: a node that was
-killed is back a quarter of a second of its processor's time sooner.
+killed restarts with a quarter of a second less of processor time.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
     Notes
     -----
-    The words that operators' platforms call it with are taken as they are: loading
-    the parser for them takes a seventh of the time that all other modules take
-    (0.11 s and 0.64 s of a busy core); callers wait for it after power was lost.
-    Whatever else is said goes to the parser, which tells what is wrong with it.
+    The arguments that operators' platforms use are read without the argument parser.
+    Loading the parser takes 0.11 s of a busy core, a seventh of the 0.64 s that all
+    other modules take, and callers wait for it after a power failure. All other
+    arguments go to the parser, which reports what is wrong with them.
     """
     if len(sys.argv) == 3 and sys.argv[1] == "--settings":
         entry(settings=Path(sys.argv[2]))
--- a/poplarrelay/entry/command.py
+++ b/poplarrelay/entry/command.py
@@ -16,7 +16,7 @@
 
 
 def entry(*, settings: Path) -> None:
-    """Run an entry node on an operator's platform until it is told to leave.
+    """Run an entry node on an operator's platform until it gets a stop signal.
 
     Parameters
     ----------
@@ -28,9 +28,9 @@
     except SettingsError as error:
         fail(ExitCode.CONFIGURATION, *(str(fault) for fault in error.faults))
     listener = start_logging(checked.node, checked.log_level)
-    running = EntryNode.from_settings(checked, settings)
+    node = EntryNode.from_settings(checked, settings)
     try:
-        asyncio.run(running.run())
+        asyncio.run(node.run())
     except OSError as error:
         listener.stop()
         fail(ExitCode.UNREACHABLE, f"cannot listen: {error}")
--- a/poplarrelay/entry/events.py
+++ b/poplarrelay/entry/events.py
@@ -1,26 +1,26 @@
-"""Splitting a stream of server-sent events into whole ones."""
+"""Splitting of a stream of server-sent events into complete events."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-__all__ = ["EventSplitter", "WholeEvents"]
+__all__ = ["EventSplitter", "CompleteEvents"]
 
 _END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 _ID = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
 
 
 @dataclass(frozen=True, slots=True)
-class WholeEvents:
+class CompleteEvents:
     """Events that have arrived completely.
 
     Attributes
     ----------
     content : bytes
-        The events, byte for byte.
+        The events as received.
     last_id : bytes or None
-        Id of the last one that has an id.
+        Id of the last event that has an id.
     """
 
     content: bytes
@@ -28,19 +28,19 @@
 
 
 class EventSplitter:
-    r"""Holds back an event until its end has arrived.
+    r"""Buffer that holds an event back until its end has arrived.
 
     Notes
     -----
-    An endpoint may stop in the middle of an event. Half an event that was passed
-    on could not be taken back, and the stream could not go on elsewhere without
-    joining pieces of two runs.
+    An endpoint can stop in the middle of an event. If a part of that event had been
+    passed on, the caller would already have it, and another endpoint could continue
+    the stream only by joining pieces of events from two runs.
 
     Examples
     --------
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\ndata: a\n\nid: 2")
-    WholeEvents(content=b'id: 1\ndata: a\n\n', last_id=b'1')
+    CompleteEvents(content=b'id: 1\ndata: a\n\n', last_id=b'1')
     >>> splitter.rest
     b'id: 2'
     """
@@ -50,15 +50,15 @@
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes of an event that is not whole yet."""
+        """Return the bytes of the event that is still incomplete."""
         return self._rest
 
-    def feed(self, data: bytes) -> WholeEvents:
-        """Take bytes and return the events that they complete."""
+    def feed(self, data: bytes) -> CompleteEvents:
+        """Add received bytes and return the events that they complete."""
         content = self._rest + data
         end = 0
         for match in _END.finditer(content):
             end = match.end()
-        whole, self._rest = content[:end], content[end:]
-        ids = _ID.findall(whole)
-        return WholeEvents(whole, ids[-1] if ids else None)
+        complete, self._rest = content[:end], content[end:]
+        ids = _ID.findall(complete)
+        return CompleteEvents(complete, ids[-1] if ids else None)
--- a/poplarrelay/entry/http/connection.py
+++ b/poplarrelay/entry/http/connection.py
@@ -1,4 +1,4 @@
-"""Outgoing connections, one exchange at a time."""
+"""Client connections, with one request and response at a time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import h11
 
-from poplarrelay.entry.http.sockets import guard_against_silence
+from poplarrelay.entry.http.sockets import enable_dead_peer_detection
 from poplarrelay.exception import ExchangeFailed
 
 __all__ = [
@@ -22,21 +22,21 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-#: Bytes parsed but not yet taken at which reading pauses, so that a slow reader
-#: slows its sender instead of filling memory.
+#: Parsed body bytes that nothing has taken yet at which reading from the socket pauses,
+#: so that a slow consumer slows the sender down instead of filling memory.
 PAUSE_AT_BYTES = 262_144
-#: Largest head that is accepted of a response.
+#: Largest size of a response's head in bytes.
 MAX_HEAD_BYTES = 65_536
-#: Share of the announced keep-alive time for which an idle connection is used. The
-#: rest covers the way there: bytes that arrive after the other side has closed are
-#: lost, and nobody can tell whether they were read.
+#: Share of the announced keep-alive time for which an idle connection is reused. The
+#: rest covers the network delay: bytes that arrive after the server has closed the
+#: connection are lost, and the client cannot tell whether the server read them.
 KEEP_ALIVE_SHARE = 0.6
-#: Seconds for which a connection is used that announced no keep-alive time.
+#: Seconds for which an idle connection without an announced keep-alive time is reused.
 DEFAULT_IDLE_S = 4.0
 
 
 def header_value(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header, its name in lower case."""
+    """Return the first value of a header; the name must be in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -50,8 +50,8 @@
     Attributes
     ----------
     framed : bool
-        Whether the body states its length, or comes in chunks. A body that does
-        not ends with its connection.
+        Whether the body has a stated length or is chunked. Any other body ends when
+        the connection is closed.
     """
 
     status: int
@@ -69,12 +69,12 @@
 
 
 class Connection(asyncio.Protocol):
-    """One outgoing HTTP/1.1 connection.
+    """One HTTP/1.1 connection to a server.
 
     Attributes
     ----------
     used : int
-        Exchanges begun on it.
+        Number of requests sent on it.
     """
 
     def __init__(self) -> None:
@@ -95,7 +95,13 @@
 
     @classmethod
     async def open(cls, host: str, port: int, timeout_s: float) -> Connection:
-        """Connect, or raise `ExchangeFailed` if that takes too long."""
+        """Connect to a server.
+
+        Raises
+        ------
+        ExchangeFailed
+            If connecting fails or times out.
+        """
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout_s):
@@ -107,32 +113,33 @@
     # asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and set the socket's options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        guard_against_silence(transport.get_extra_info("socket"))
+        enable_dead_peer_detection(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse the received bytes."""
         if not self._busy:
-            # Bytes that nobody asked for, such as a second answer to the request
-            # before, would be read as the next request's answer.
-            self._fail("bytes outside of an exchange")
+            # Without a request in progress, bytes such as a second answer to the last
+            # request would be taken for the answer to the next one.
+            self._fail("received bytes without a request in progress")
             return
         self._parse(data)
 
     def eof_received(self) -> bool:
-        """Take the end of the other side's bytes; it may end a body."""
+        """Handle the end of the server's bytes, which can be the end of a body."""
         self._closed = self._failure is None
         if self._busy:
             self._parse(b"")
-        self._fail("closed by the other side")
+        self._fail("closed by the server")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the exchange under way."""
+        """Fail the request in progress."""
         if self._failure is None and isinstance(exc, ConnectionError):
-            # Unanswered keep-alive probes raise TimeoutError, which shows no close.
+            # Unanswered keep-alive probes give a TimeoutError instead, which does not
+            # show that the server closed the connection.
             self._closed = True
         self._fail(f"connection lost: {exc!r}")
 
@@ -155,7 +162,7 @@
                 if isinstance(event, h11.EndOfMessage):
                     break
         except h11.RemoteProtocolError as error:
-            self._fail(f"not HTTP: {error}")
+            self._fail(f"invalid HTTP response: {error}")
             return
         if self._held_bytes > PAUSE_AT_BYTES and not self._reading_paused:
             self._reading_paused = True
@@ -164,6 +171,7 @@
         self._wake()
 
     def _fail(self, problem: str) -> None:
+        """Abort the connection; every later use fails with the first problem."""
         if self._failure is None:
             self._failure = problem
         if self._transport is not None:
@@ -192,15 +200,15 @@
                     self._transport.resume_reading()
         return event
 
-    # the exchange
+    # request and response
 
     def send(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> None:
-        """Send a whole request.
+        """Send a complete request.
 
         Raises
         ------
         ExchangeFailed
-            If the connection has failed before anything was sent.
+            If the connection has failed before; nothing is sent then.
         """
         if self._failure is not None or self._transport is None:
             raise ExchangeFailed(self._failure or "not connected", sent=False)
@@ -218,7 +226,9 @@
         """Wait for the response's head."""
         event = await self._next()
         if not isinstance(event, h11.Response):
-            raise ExchangeFailed(f"{type(event).__name__} before a head", self._sent)
+            raise ExchangeFailed(
+                f"{type(event).__name__} instead of a response head", self._sent
+            )
         headers = [(bytes(k), bytes(v)) for k, v in event.headers.raw_items()]
         framed = (
             header_value(headers, b"content-length") is not None
@@ -227,19 +237,19 @@
         return ResponseHead(event.status_code, headers, framed)
 
     async def body_part(self) -> bytes | None:
-        """Wait for the next bytes of the body; None once it is whole."""
+        """Wait for the next bytes of the body; return None at its end."""
         event = await self._next()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         return None
 
     async def body(self, limit: int) -> bytes:
-        """Wait for the whole body.
+        """Wait for the complete body.
 
         Raises
         ------
         ExchangeFailed
-            If it breaks off or is larger than the limit.
+            If the body is truncated or is larger than the limit.
         """
         parts: list[bytes] = []
         size = 0
@@ -248,24 +258,26 @@
             size += len(part)
             if size > limit:
                 self.abort()
-                raise ExchangeFailed(f"body over {limit} bytes", sent=True)
+                raise ExchangeFailed(
+                    f"response body is larger than {limit} bytes", sent=True
+                )
         return b"".join(parts)
 
     async def whole_response(self, limit: int) -> WholeResponse:
-        """Wait for the whole response."""
+        """Wait for the complete response."""
         head = await self.response_head()
         return WholeResponse(head.status, head.headers, await self.body(limit))
 
-    # after the exchange
+    # after the response
 
     def recycle(self, head_headers: Headers, now: float) -> bool:
-        """Make the connection ready for another exchange, if it may have one.
+        """Prepare the connection for another request; return whether that is possible.
 
         Notes
         -----
-        Bytes after a complete answer belong to no request, and a request whose
-        last bytes are still unsent would be continued by the next one: in both
-        cases the connection is dropped.
+        The connection is aborted if bytes follow the complete response, as they belong
+        to no request. It is aborted also if bytes of the request are still unsent: the
+        next request would be appended to them.
         """
         if self._failure is not None or self._transport is None:
             return False
@@ -285,11 +297,11 @@
         return True
 
     def usable(self, now: float) -> bool:
-        """Return whether an idle connection may carry a request now."""
+        """Return whether an idle connection can be used for a request now."""
         return self._failure is None and now < self._idle_until
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Abort the connection."""
         self._fail("dropped")
 
 
@@ -310,7 +322,7 @@
     body: bytes,
     limit: int,
 ) -> WholeResponse:
-    """Carry out one exchange; a connection that fails in it is dropped."""
+    """Send a request and return its response; abort the connection if that fails."""
     try:
         connection.send(method, target, headers, body)
         return await connection.whole_response(limit)
--- a/poplarrelay/entry/http/listener.py
+++ b/poplarrelay/entry/http/listener.py
@@ -1,4 +1,4 @@
-"""Listeners: incoming connections, one request at a time on each."""
+"""HTTP listeners, with one request at a time on each connection."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 from poplarrelay.entry.configuration import CallerLimits
 from poplarrelay.entry.http.connection import Headers, header_value
-from poplarrelay.entry.http.sockets import guard_against_silence
+from poplarrelay.entry.http.sockets import enable_dead_peer_detection
 
 __all__ = ["Exchange", "Handler", "IncomingRequest", "Listener"]
 
-#: Seconds for which the rest of a refused body is read and dropped. Closing with
-#: unread bytes resets the connection, and the caller may lose the refusal.
+#: Seconds for which the rest of a rejected request is read and discarded. Closing a
+#: connection with unread bytes resets it, and the caller can lose the error response.
 DISCARD_S = 1.0
 #: Statuses whose responses have no body.
 BODILESS = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
-#: Bytes that a caller may send ahead of the answer to its request. Callers here wait
-#: for answers; reading goes on only to notice that they leave.
-MAX_AHEAD_BYTES = 65_536
-#: Connections waiting to be accepted.
+#: Bytes that a caller can send before the answer to its request is written. Callers
+#: wait for answers; the node reads meanwhile only to notice that they disconnect.
+MAX_EARLY_BYTES = 65_536
+#: Largest number of connections that wait to be accepted.
 BACKLOG = 1024
 
 _LOG = logging.getLogger("poplarrelay.entry.listener")
@@ -38,9 +38,9 @@
     Attributes
     ----------
     started_at : float
-        Monotonic time of its first byte.
+        Monotonic time at which its first byte arrived.
     has_body : bool
-        Whether it came with a body, be it empty.
+        Whether the request has a body, even an empty one.
     """
 
     method: bytes
@@ -52,12 +52,12 @@
 
 
 class Exchange:
-    """The answer to one request, written as it is made.
+    """Writer of the response to one request.
 
     Attributes
     ----------
     begun : bool
-        Whether a head has been written.
+        Whether the response's head has been written.
     """
 
     def __init__(self, connection: CallerConnection) -> None:
@@ -71,18 +71,18 @@
         return self._connection.closed
 
     def on_gone(self, callback: Callable[[], None] | None) -> None:
-        """Call back when the caller leaves, instead of cancelling the handler."""
+        """Set a callback for the caller's disconnect; it replaces the cancellation."""
         self._on_gone = callback
 
     def gone(self) -> bool:
-        """Tell that the caller has left; return whether somebody took notice."""
+        """Run the callback for the caller's disconnect; return whether one is set."""
         if self._on_gone is None:
             return False
         self._on_gone()
         return True
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole response."""
+        """Write a complete response."""
         if status not in BODILESS:
             headers = [*headers, (b"Content-Length", str(len(body)).encode())]
         self._connection.write_head(status, headers)
@@ -92,14 +92,14 @@
         self._connection.write_event(h11.EndOfMessage())
 
     def start(self, status: int, headers: Headers) -> None:
-        """Write the head of a response whose body follows in parts."""
+        """Write the head of a response with a chunked body."""
         self._connection.write_head(
             status, [*headers, (b"Transfer-Encoding", b"chunked")]
         )
         self.begun = True
 
     async def write(self, data: bytes) -> None:
-        """Write a part of the body, at the pace at which the caller reads."""
+        """Write a part of the body, and wait if the caller reads slowly."""
         self._connection.write_event(h11.Data(data=data))
         await self._connection.writable()
 
@@ -108,7 +108,7 @@
         self._connection.write_event(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """Break the connection, so that what was written cannot look whole."""
+        """Reset the connection, so that the caller sees an incomplete response."""
         self._connection.abort()
 
 
@@ -139,78 +139,78 @@
         self._exchange: Exchange | None = None
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._resumed: asyncio.Future[None] | None = None
-        self._paused = False
+        self._write_resumed: asyncio.Future[None] | None = None
+        self._write_paused = False
         self._discarding = False
-        self._ahead = 0
+        self._early_bytes = 0
         self.closed = False
 
     @property
     def idle(self) -> bool:
-        """Return whether no byte of a request is here and none is answered."""
+        """Return whether no request is being received or answered."""
         return self._task is None and self._started_at == 0.0
 
     # asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for the first request."""
+        """Set the socket's options and wait for the first request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        guard_against_silence(transport.get_extra_info("socket"))
+        enable_dead_peer_detection(transport.get_extra_info("socket"))
         self._listener.connections.add(self)
         self._set_timer(self._limits.idle_timeout_s, self.close)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse the received bytes."""
         if self._discarding:
             return
         if self._task is not None:
-            self._ahead += len(data)
-            if self._ahead > MAX_AHEAD_BYTES:
+            self._early_bytes += len(data)
+            if self._early_bytes > MAX_EARLY_BYTES:
                 self.abort()
                 return
         if self._started_at == 0.0:
             self._started_at = monotonic()
             if self._task is None:
-                self._set_timer(self._limits.header_timeout_s, self._head_late)
+                self._set_timer(self._limits.header_timeout_s, self._head_timed_out)
         self._http.receive_data(data)
         self._parse()
 
     def eof_received(self) -> bool:
-        """Take the caller's close for its leaving."""
+        """Treat the end of the caller's bytes as a disconnect."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop the work for a caller that has left."""
+        """Stop handling the request of a caller that has disconnected."""
         self.closed = True
         self._listener.connections.discard(self)
         self._set_timer(None)
-        if self._resumed is not None and not self._resumed.done():
-            self._resumed.set_result(None)
+        if self._write_resumed is not None and not self._write_resumed.done():
+            self._write_resumed.set_result(None)
         if self._task is None or self._exchange is None:
             return
         if not self._exchange.gone():
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads slower than the answer comes."""
-        self._paused = True
+        """Pause writing, as the caller reads more slowly than the node writes."""
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Let the writer go on."""
-        self._paused = False
-        if self._resumed is not None and not self._resumed.done():
-            self._resumed.set_result(None)
+        """Resume writing."""
+        self._write_paused = False
+        if self._write_resumed is not None and not self._write_resumed.done():
+            self._write_resumed.set_result(None)
 
     async def writable(self) -> None:
-        """Wait until the caller has read enough."""
-        if not self._paused or self.closed:
+        """Wait until the caller has read enough for more to be written."""
+        if not self._write_paused or self.closed:
             return
-        self._resumed = asyncio.get_running_loop().create_future()
+        self._write_resumed = asyncio.get_running_loop().create_future()
         try:
-            await self._resumed
+            await self._write_resumed
         finally:
-            self._resumed = None
+            self._write_resumed = None
 
     # reading
 
@@ -224,40 +224,40 @@
                     return
                 if isinstance(event, h11.ConnectionClosed):
                     return
-                self._take(event)
+                self._handle_event(event)
                 if self._discarding:
                     return
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint
-            self._refuse(status if status in (400, 431, 501) else 400, str(error))
+            self._reject(status if status in (400, 431, 501) else 400, str(error))
 
-    def _take(self, event: h11.Event) -> None:
+    def _handle_event(self, event: h11.Event) -> None:
         if isinstance(event, h11.Request):
             self._head = event
             self._expect_body(event)
         elif isinstance(event, h11.Data):
             self._size += len(event.data)
             if self._size > self._limits.max_body_bytes:
-                self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
+                self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
                 return
             self._parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._serve()
 
     def _expect_body(self, head: h11.Request) -> None:
-        self._set_timer(self._limits.idle_timeout_s, self._body_late)
+        self._set_timer(self._limits.idle_timeout_s, self._body_timed_out)
         headers = list(head.headers)
         if _head_bytes(head) > self._limits.max_header_bytes:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "head too large")
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "head too large")
             return
         length = header_value(headers, b"content-length")
         if length is not None and header_value(headers, b"transfer-encoding"):
-            # Two statements of the body's length: whoever believes the other one
-            # would read a part of this body as the next request.
-            self._refuse(HTTPStatus.BAD_REQUEST, "two statements of the body's length")
+            # The two headers can disagree about the body's length. Then one of two
+            # readers takes a part of the body for the next request (request smuggling).
+            self._reject(HTTPStatus.BAD_REQUEST, "two statements of the body's length")
             return
         if length is not None and int(length) > self._limits.max_body_bytes:
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
+            self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
             return
         if self._http.they_are_waiting_for_100_continue:
             self.write_event(h11.InformationalResponse(status_code=100, headers=[]))
@@ -289,8 +289,8 @@
         except asyncio.CancelledError:
             self.abort()
         except Exception:
-            # The caller must not wait for an answer that nobody makes any more,
-            # and one broken request must not end the process.
+            # The caller must not wait for an answer that will never come, and the
+            # failure of one request must not end the process.
             _LOG.exception("request failed")
             if exchange.begun or self.closed:
                 self.abort()
@@ -304,14 +304,14 @@
     def _next_request(self) -> None:
         if self.closed or self._transport is None:
             return
-        # A handler that ended without an answer leaves states other than DONE.
+        # The states are not DONE if the handler ended without an answer.
         if self._http.our_state is not h11.DONE or (
             self._http.their_state is not h11.DONE
         ):
             self.close()
             return
         self._http.start_next_cycle()
-        self._ahead = 0
+        self._early_bytes = 0
         self._limits = self._listener.limits()
         self._head = None
         pending, _ = self._http.trailing_data
@@ -322,18 +322,18 @@
         timeout_s = (
             self._limits.header_timeout_s if pending else self._limits.idle_timeout_s
         )
-        self._set_timer(timeout_s, self._head_late if pending else self.close)
+        self._set_timer(timeout_s, self._head_timed_out if pending else self.close)
         self._parse()
 
-    # refusals made before a request is whole
+    # errors before a request has arrived completely
 
-    def _head_late(self) -> None:
-        self._refuse(HTTPStatus.REQUEST_TIMEOUT, "head took too long")
+    def _head_timed_out(self) -> None:
+        self._reject(HTTPStatus.REQUEST_TIMEOUT, "head took too long")
 
-    def _body_late(self) -> None:
-        self._refuse(HTTPStatus.REQUEST_TIMEOUT, "body took too long")
+    def _body_timed_out(self) -> None:
+        self._reject(HTTPStatus.REQUEST_TIMEOUT, "body took too long")
 
-    def _refuse(self, status: int, problem: str) -> None:
+    def _reject(self, status: int, problem: str) -> None:
         _LOG.info("unreadable request", extra={"status": status, "why": problem})
         self._discarding = True
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -351,7 +351,7 @@
     # writing
 
     def write_head(self, status: int, headers: Headers) -> None:
-        """Write a response's head; a draining node asks the caller to move on."""
+        """Write a response's head; a draining node adds ``Connection: close``."""
         if self._listener.draining:
             headers = [*headers, (b"Connection", b"close")]
         reason = ""
@@ -362,12 +362,12 @@
         )
 
     def expects_body(self, status: int) -> bool:
-        """Return whether a response to the request at hand carries its body."""
+        """Return whether a response to the current request has a body."""
         is_head = self._head is not None and self._head.method == b"HEAD"
         return not is_head and status not in BODILESS
 
     def write_event(self, event: h11.Event) -> None:
-        """Write one event, unless the caller has left."""
+        """Write one event, unless the caller has disconnected."""
         if self.closed or self._transport is None:
             return
         data = self._http.send(event)
@@ -385,7 +385,7 @@
             self._timer = loop.call_later(after_s, call)
 
     def close(self) -> None:
-        """Close after what has been written."""
+        """Close the connection after all written bytes are sent."""
         if self._transport is not None:
             self._transport.close()
 
@@ -396,21 +396,21 @@
 
 
 class Listener:
-    """A listening address.
+    """HTTP server on one address.
 
     Parameters
     ----------
     host, port : str, int
-        Where to listen.
+        Address to listen on.
     handler : callable
         Answers one request.
     limits : callable
-        Returns the limits on callers in force.
+        Returns the current limits on callers.
 
     Attributes
     ----------
     draining : bool
-        Whether callers are asked to go elsewhere after each answer.
+        Whether each answer asks the caller to close the connection.
     """
 
     def __init__(
@@ -429,7 +429,7 @@
         self.draining = False
 
     async def start(self) -> None:
-        """Listen.
+        """Start to accept connections.
 
         Raises
         ------
@@ -443,26 +443,26 @@
 
     @property
     def port(self) -> int:
-        """Return the port, also where the settings left it open."""
+        """Return the port, also if the system chose it because port 0 was given."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     @property
     def busy(self) -> int:
-        """Return how many connections have a request on the way."""
+        """Return the number of connections with a request in progress."""
         return sum(1 for connection in self.connections if not connection.idle)
 
     def drain(self) -> None:
-        """Ask callers to go elsewhere after each answer.
+        """Ask callers to close their connections, and still accept requests.
 
         Notes
         -----
-        Callers keep answers of discovery for a while, so the address goes on
-        accepting; each answer asks the caller to use another one next time.
+        Callers keep addresses from discovery for some seconds, so the listener still
+        accepts connections. Each answer asks the caller to use another node next time.
         """
         self.draining = True
 
     def stop(self) -> None:
-        """Stop accepting."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
--- a/poplarrelay/entry/http/pool.py
+++ b/poplarrelay/entry/http/pool.py
@@ -1,4 +1,4 @@
-"""Idle outgoing connections, kept by address for reuse."""
+"""Pool of idle client connections, kept by address for reuse."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 Address = tuple[str, int]
 
-#: Idle connections kept to one address.
+#: Largest number of idle connections to one address.
 MAX_IDLE = 16
 
 
 class ConnectionPool:
-    """Idle connections by address.
+    """Pool of idle connections by address.
 
     Parameters
     ----------
     connect_timeout_s : float
-        Longest wait for a new connection.
+        Timeout of a new connection in seconds.
     """
 
     def __init__(self, connect_timeout_s: float) -> None:
@@ -35,11 +35,11 @@
 
     @property
     def opened(self) -> int:
-        """Return how many connections have been opened."""
+        """Return the number of connections opened so far."""
         return self._opened
 
     def take_idle(self, address: Address) -> Connection | None:
-        """Return the idle connection that was used last, None if there is none."""
+        """Return the most recently used idle connection, None if there is none."""
         idle = self._idle.get(address)
         now = monotonic()
         while idle:
@@ -50,12 +50,12 @@
         return None
 
     async def take(self, address: Address) -> Connection:
-        """Return an idle connection or a new one.
+        """Return an idle connection or open a new one.
 
         Raises
         ------
         ExchangeFailed
-            If there is none and connecting fails.
+            If no idle connection exists and connecting fails.
         """
         connection = self.take_idle(address)
         if connection is not None:
@@ -66,7 +66,7 @@
     def give_back(
         self, address: Address, connection: Connection, headers: Headers
     ) -> None:
-        """Keep a connection whose exchange is complete, if it may be reused."""
+        """Keep a connection after a complete response if it can be reused."""
         if not connection.recycle(headers, monotonic()):
             return
         idle = self._idle.setdefault(address, [])
@@ -75,27 +75,27 @@
             idle.pop(0).abort()
 
     def forget(self, address: Address) -> None:
-        """Drop all idle connections to an address."""
+        """Abort all idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.abort()
 
     def close(self) -> None:
-        """Drop all idle connections."""
+        """Abort all idle connections."""
         for address in list(self._idle):
             self.forget(address)
 
 
 class JsonClient:
-    """Calls with small bodies to one address, over kept connections.
+    """Client that sends small requests to one address over reused connections.
 
     Parameters
     ----------
     address : tuple of str and int
-        Where the calls go.
+        Address of the server.
     connect_timeout_s : float
-        Longest wait for a new connection.
+        Timeout of a new connection in seconds.
     limit : int
-        Largest body that is accepted.
+        Largest size of a response's body in bytes.
     """
 
     def __init__(self, address: Address, connect_timeout_s: float, limit: int) -> None:
@@ -107,12 +107,12 @@
     async def call(
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> WholeResponse:
-        """Carry out one call.
+        """Send a request and return its response.
 
         Raises
         ------
         ExchangeFailed
-            If no whole answer arrived.
+            If no complete response arrived.
         """
         connection = await self._pool.take(self._address)
         head: Headers = [(b"Host", self._host), *headers]
@@ -125,5 +125,5 @@
         return response
 
     def close(self) -> None:
-        """Drop the kept connections."""
+        """Abort the idle connections."""
         self._pool.close()
--- a/poplarrelay/entry/metrics.py
+++ b/poplarrelay/entry/metrics.py
@@ -9,8 +9,8 @@
 
 __all__ = ["EntryMetrics"]
 
-#: Bounds of the latency histogram in seconds, around the targets of both kinds of
-#: requests: a tenth of a second for calls, one second for a first event.
+#: Bounds of the latency histogram in seconds, around the latency targets of both kinds
+#: of requests: 0.1 s for calls and 1 s for the first event of a stream.
 BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0]
 
 
@@ -37,12 +37,12 @@
         )
 
     def observe(self, route: str, status: str, took_s: float) -> None:
-        """Count a request that has ended."""
+        """Record the status and the duration of a request that has ended."""
         self._requests.inc({"status": status})
         self._latency.observe({"status": status[:1]}, took_s)
 
     def render(self, values: dict[str, float]) -> bytes:
-        """Return the exposition with the given gauges."""
+        """Return all metrics as text, with the given values of gauges."""
         for name, value in values.items():
             self._gauges.set({"what": name}, value)
         usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/poplarrelay/entry/node_handlers.py
+++ b/poplarrelay/entry/node_handlers.py
@@ -1,4 +1,4 @@
-"""What a node answers besides callers' requests: where, whether, and how it is."""
+"""Handlers for readiness, discovery, status and metrics of a node."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 __all__ = ["METRICS_PATH", "NodeHandlers"]
 
-#: Where metrics are served, on the control address and on one of their own.
+#: Path of the metrics, on the control address and on the metrics address.
 METRICS_PATH = "/metrics"
-#: Seconds for which callers keep the addresses: long enough to cost little, short
-#: enough that they have left a stopping node before it ends.
+#: Seconds for which callers keep the addresses: long enough that discovery costs
+#: little, short enough that callers leave a stopping node before its process ends.
 ADDRESS_TTL_S = 2.5
 
 
@@ -38,11 +38,11 @@
     state : EntryState
         The node's tables.
     endpoints : EndpointList
-        The endpoints' records, to be passed on to peers.
+        The endpoints' records, which peers fetch from this node.
     metrics : EntryMetrics
         The node's metrics.
     gauges : callable
-        Returns values that only the process knows, by name.
+        Returns the values of gauges that only the process can read, by name.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._gauges = gauges
 
     async def readiness(self, incoming: IncomingRequest, exchange: Exchange) -> None:
-        """Tell the platform whether this node takes callers."""
+        """Answer the platform whether this node is ready for callers."""
         path = incoming.target.partition(b"?")[0]
         if path != READINESS_PATH:
             await exchange.send(404, [], b"")
@@ -66,7 +66,7 @@
         await exchange.send(200 if self._state.ready else 503, [], b"")
 
     async def discovery(self, incoming: IncomingRequest, exchange: Exchange) -> None:
-        """Tell a caller where to connect."""
+        """Answer a caller with addresses of nodes to connect to."""
         path = incoming.target.partition(b"?")[0]
         if path != RESOLVE_PATH:
             await exchange.send(404, [], b"")
@@ -86,8 +86,8 @@
         """Answer peers and operators."""
         path, _, query = incoming.target.decode("latin-1").partition("?")
         if path == STATE_PATH:
-            known = int(parse_qs(query).get("version", ["0"])[0])
-            body = encode_state(self._state, self._endpoints, known)
+            known_version = int(parse_qs(query).get("version", ["0"])[0])
+            body = encode_state(self._state, self._endpoints, known_version)
             await exchange.send(200, [(b"Content-Type", b"application/json")], body)
         elif path == METRICS_PATH:
             await self.metrics(incoming, exchange)
@@ -98,7 +98,7 @@
             await exchange.send(404, [], b"")
 
     async def metrics(self, incoming: IncomingRequest, exchange: Exchange) -> None:
-        """Answer those who collect metrics."""
+        """Answer with the node's metrics."""
         if incoming.target.partition(b"?")[0] != METRICS_PATH.encode():
             await exchange.send(404, [], b"")
             return
--- a/poplarrelay/entry/process.py
+++ b/poplarrelay/entry/process.py
@@ -1,4 +1,4 @@
-"""An entry node's process: wiring, signals, start and stop."""
+"""The process of an entry node: wiring, signals, start and stop."""
 
 from __future__ import annotations
 
@@ -47,39 +47,41 @@
 
 _LOG = logging.getLogger("poplarrelay.entry")
 
-#: Seconds between ticks of the systems that run over the tables.
+#: Seconds between ticks of the node.
 TICK_S = 0.1
-#: Seconds between rounds of news to peers.
+#: Seconds between gossip rounds.
 GOSSIP_S = 0.4
-#: Seconds for which news that all peers must have is collected before it is sent.
-ANNOUNCE_S = 0.05
-#: Seconds of it for each node that is told: a team over its quota at all nodes of a
-#: cell must not keep their processors busy with each other's announcements. Two
-#: hundred a second take a node about 2% of a core.
-ANNOUNCE_EACH_S = 0.005
-#: Part of the rounds in which a host of any cell may be told.
+#: Shortest delay in seconds before an early broadcast of this node's row, so that one
+#: broadcast carries several changes.
+ANNOUNCE_DELAY_S = 0.05
+#: Seconds of this delay per receiving node. It bounds the load when a team exceeds its
+#: quota at all nodes of a cell and every node broadcasts: two hundred announcements
+#: a second take a node about 2% of a core.
+ANNOUNCE_DELAY_PER_NODE_S = 0.005
+#: Share of the gossip rounds in which hosts of all cells are seeds.
 ANY_CELL_SHARE = 0.3
 #: Seconds that a read of the configuration waits for a change. Longer waits cost
-#: fewer calls. A connection gone silent is found dead by probes within three seconds,
-#: and peers name the newest version in their news meanwhile.
+#: fewer calls. Keep-alive probes find a dead connection within three seconds, and the
+#: gossip of peers carries the newest version meanwhile.
 CONFIGURATION_WAIT_S = 10.0
-#: Seconds between lines on what the node knows and has spent. Where only logs are kept
-#: they are all that tells whether it saw its peers; six lines a minute cost nothing.
+#: Seconds between status log lines. If only logs are kept, these lines alone show
+#: whether the node had contact with its peers; six lines a minute cost nothing.
 STATUS_S = 10.0
-#: Seconds for a new connection to an endpoint.
+#: Timeout in seconds of a new connection to an endpoint.
 ENDPOINT_CONNECT_S = 0.6
-#: Seconds without running after which the process counts as frozen.
+#: Shortest gap in seconds between two ticks that counts as a freeze of the process.
 FROZEN_S = 0.8
-#: Seconds between looks at the settings file, which may change without a signal.
-SETTINGS_LOOK_S = 2.0
-#: Seconds after the stop signal until which a node keeps serving in any case:
-#: callers still arrive with addresses that they learned before.
-LEAST_DRAIN_S = 2.5
-#: Seconds before the end of the grace time at which what is left is cut off. A
-#: process that still says good-bye when its time is over is killed.
-CUT_MARGIN_S = 1.1
-#: Seconds for written answers to reach their callers before connections are reset.
-LAST_BYTES_S = 0.2
+#: Seconds between reads of the settings file, which can change without a signal.
+SETTINGS_POLL_S = 2.0
+#: Shortest time in seconds that a node keeps serving after the stop signal: callers
+#: still connect to addresses that discovery returned earlier.
+MIN_DRAIN_S = 2.5
+#: Seconds before the end of the grace time at which the node closes the remaining
+#: connections. A process that still runs when the grace time ends is killed.
+CLOSE_MARGIN_S = 1.1
+#: Seconds in which written answers can reach their callers before connections are
+#: reset.
+FLUSH_S = 0.2
 
 
 class EntryNode:
@@ -88,9 +90,9 @@
     Parameters
     ----------
     settings : EntrySettings
-        Its settings.
+        The node's settings.
     path : pathlib.Path or None
-        Their file, to be read again when it changes.
+        Settings file; the node reads it again when it changes.
     """
 
     def __init__(self, settings: EntrySettings, path: Path | None = None) -> None:
@@ -103,12 +105,12 @@
         self._store = Store(parse_address(settings.platform.store))
         self._metrics = EntryMetrics()
         self._pool = ConnectionPool(ENDPOINT_CONNECT_S)
-        self._endpoints_read = Dependency("store: endpoints")
-        self._configuration_read = Dependency("store: configuration")
+        self._endpoints_dependency = Dependency("store: endpoints")
+        self._configuration_dependency = Dependency("store: configuration")
         self._gossip = Gossip(
             self._state.peers,
             self._state.clock,
-            self._on_news,
+            self._on_peer_row,
             monotonic,
             self._rng,
             self._on_summary,
@@ -134,21 +136,21 @@
         )
         self._endpoints = EndpointList(
             self._state,
-            self._endpoints_read.lost_s,
+            self._endpoints_dependency.lost_s,
             self._on_change,
             self._on_departure,
             lambda row: self._pool.forget(row.address),
         )
         self._follower = ConfigurationFollower(
             self._store,
-            self._configuration_read,
+            self._configuration_dependency,
             ConfigurationApplier(self._state, self._on_change),
             CONFIGURATION_WAIT_S,
             self._rng,
         )
         self._reader = EndpointReader(
             self._store,
-            self._endpoints_read,
+            self._endpoints_dependency,
             self._endpoints,
             self._state.freshness,
             lambda now: self._exchange.announce_read(now),
@@ -160,7 +162,7 @@
             self._gossip,
             self._alive_hosts,
             self._reader.resync,
-            self._wake_exchange,
+            self._schedule_exchange,
             self._rng,
         )
         self._gossip.attach_list_exchange(self._exchange, self._backlog_client)
@@ -174,12 +176,12 @@
         if settings.platform.cloud is not None:
             self._cloud = CloudClient(parse_address(settings.platform.cloud))
             self._duties = DutyWorker(self._state, self._store, self._cloud)
-        self._freezes = FreezeDetector(FROZEN_S)
+        self._freeze_detector = FreezeDetector(FROZEN_S)
         self._stopping_at: float | None = None
         self._next_gossip_at = 0.0
         self._next_status_at = monotonic() + STATUS_S
-        self._announcement: asyncio.TimerHandle | None = None
-        self._telling: asyncio.TimerHandle | None = None
+        self._announce_timer: asyncio.TimerHandle | None = None
+        self._exchange_timer: asyncio.TimerHandle | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._listeners = self._make_listeners()
 
@@ -187,7 +189,7 @@
     def from_settings(
         cls, settings: EntrySettings, path: Path | None = None
     ) -> EntryNode:
-        """Return a node that has not started yet."""
+        """Return a node that is not started."""
         return cls(settings, path)
 
     @property
@@ -202,17 +204,17 @@
 
     @property
     def exchange(self) -> ListExchange:
-        """Return what keeps the list as fresh as the peers'."""
+        """Return the exchange of endpoint lists with the peers."""
         return self._exchange
 
     @property
     def gossip(self) -> Gossip:
-        """Return what carries news between this node and its peers."""
+        """Return the gossip between this node and its peers."""
         return self._gossip
 
     @property
     def duties(self) -> DutyWorker:
-        """Return what does the duties; only on platforms that have any."""
+        """Return the duty worker; the settings must name a cloud API."""
         assert self._duties is not None
         return self._duties
 
@@ -243,10 +245,10 @@
         configuration = self._state.configuration
         return CallerLimits() if configuration is None else configuration.limits
 
-    # life
+    # start and stop
 
     async def run(self) -> None:
-        """Serve until a stop signal, and then until callers have left.
+        """Serve until a stop signal and then until the node is drained.
 
         Raises
         ------
@@ -258,14 +260,15 @@
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGINT, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        # What was imported lives until the end; without this every full collection
-        # walks it and holds back the events of all streams meanwhile.
+        # Imported objects live until the process ends. If they were not frozen here,
+        # every full garbage collection would visit them and delay the events of all
+        # streams meanwhile.
         gc.collect()
         gc.freeze()
         await self.serve()
 
     async def start(self) -> None:
-        """Listen, and begin to follow the platform.
+        """Open the listeners and start the background tasks.
 
         Raises
         ------
@@ -288,38 +291,38 @@
         self._start_tasks()
 
     async def serve(self) -> None:
-        """Tick until the node has stopped."""
+        """Run ticks until the node is drained, and shut it down."""
         while not self._finished():
             await asyncio.sleep(TICK_S)
             self._tick()
-        await self._end()
+        await self._shut_down()
 
     def _start_tasks(self) -> None:
         control_port = parse_address(self._settings.listeners.control)[1]
         sync = PeerSync(self._state, self._endpoints, control_port)
-        works = [self._follower.run(), self._reader.run()]
-        works += [self._directory.run(), sync.run(), self._watch_settings()]
+        coroutines = [self._follower.run(), self._reader.run()]
+        coroutines += [self._directory.run(), sync.run(), self._watch_settings()]
         if self._duties is not None:
-            works += [
+            coroutines += [
                 self._duties.renew_forever(),
                 self._duties.report_forever(),
                 self._duties.order_forever(),
             ]
-        for work in works:
-            task = asyncio.create_task(work)
+        for coroutine in coroutines:
+            task = asyncio.create_task(coroutine)
             task.add_done_callback(self._task_ended)
             self._tasks.append(task)
 
     def _task_ended(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or (task.exception() is None and self._stopping_at):
             return
-        # A task that ends would leave the node with old beliefs while it looks
-        # healthy; ending the process lets it start afresh.
+        # Without this task the node would look healthy but work with outdated tables.
+        # The process ends, so that the platform can start it again.
         _LOG.critical("task failed", exc_info=task.exception())
         self._stopping_at = float("-inf")
 
     def stop(self) -> None:
-        """Begin to leave: name other addresses, serve what comes meanwhile."""
+        """Begin to drain: refer callers to other nodes, but still serve requests."""
         if self._stopping_at is not None:
             return
         self._stopping_at = monotonic()
@@ -327,39 +330,39 @@
         self._state.me.state = NodeState.DRAINING
         for listener in self._listeners.values():
             listener.drain()
-        self._tell_all()
+        self._gossip_to_all()
         _LOG.info("stopping", extra={"busy": self._listeners["callers"].busy})
         if self._duties is not None:
             task = asyncio.create_task(self._duties.retire())
             self._tasks.append(task)
 
-    def _tell_all(self) -> None:
+    def _gossip_to_all(self) -> None:
         self._refresh_own_row()
-        self._gossip.run_round(self._seeds, to_all=True)
+        self._gossip.run_round(self._gossip_seeds, to_all=True)
 
     def _finished(self) -> bool:
         if self._stopping_at is None:
             return False
         since_s = monotonic() - self._stopping_at
         grace_s = self._settings.bounds.stop_grace_s
-        if since_s >= grace_s - CUT_MARGIN_S:
+        if since_s >= grace_s - CLOSE_MARGIN_S:
             return True
-        return since_s >= LEAST_DRAIN_S and self._listeners["callers"].busy == 0
+        return since_s >= MIN_DRAIN_S and self._listeners["callers"].busy == 0
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         busy = self._listeners["callers"].busy
         self._state.me.state = NodeState.STOPPED
-        self._tell_all()
+        self._gossip_to_all()
         for listener in self._listeners.values():
             listener.stop()
             for connection in list(listener.connections):
                 connection.close()
-        await asyncio.sleep(LAST_BYTES_S)
+        await asyncio.sleep(FLUSH_S)
         await self.abandon()
         _LOG.info("stopped", extra={"cut_off": busy})
 
     async def abandon(self) -> None:
-        """Drop everything at once, as the end of the process does."""
+        """Reset all connections and cancel all tasks, as if the process ended."""
         for listener in self._listeners.values():
             listener.stop()
             for connection in list(listener.connections):
@@ -369,7 +372,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._pool.close()
         self._store.close()
-        for timer in (self._telling, self._announcement):
+        for timer in (self._exchange_timer, self._announce_timer):
             if timer is not None:
                 timer.cancel()
         self._gossip.stop()
@@ -377,7 +380,7 @@
     # settings
 
     def reload(self) -> None:
-        """Read the settings file again; a faulty one changes nothing."""
+        """Read the settings file again; an invalid file changes nothing."""
         if self._path is None:
             return
         try:
@@ -403,7 +406,7 @@
             return
         before = self._path.read_bytes()
         while True:
-            await asyncio.sleep(SETTINGS_LOOK_S)
+            await asyncio.sleep(SETTINGS_POLL_S)
             try:
                 content = self._path.read_bytes()
             except OSError as error:
@@ -416,14 +419,14 @@
     # ticks
 
     @property
-    def _seeds(self) -> tuple[str, ...]:
-        """Return hosts that this node may tell of itself without having heard them.
+    def _gossip_seeds(self) -> tuple[str, ...]:
+        """Return hosts that get gossip even if nothing was ever received from them.
 
         Notes
         -----
-        Mostly of its own cell, which it needs first: when all nodes start at once, one
-        in sixteen hosts would be. The others now and then, so that groups which were
-        cut off from each other meet again.
+        Most rounds use only hosts of this node's cell, which the node needs first: when
+        all nodes start at once, only one in sixteen hosts is in the cell. The other
+        rounds use all hosts, so that groups that were partitioned find each other.
         """
         hosts = self._directory.hosts
         if self._rng.random() >= ANY_CELL_SHARE:
@@ -433,7 +436,7 @@
 
     def _tick(self) -> None:
         now = monotonic()
-        frozen_s = self._freezes.check()
+        frozen_s = self._freeze_detector.check()
         if frozen_s > 0:
             self.resume_after_freeze(frozen_s)
         state = self._state
@@ -444,7 +447,7 @@
         ):
             state.me.state = NodeState.READY
             _LOG.info("ready", extra={"configuration": state.me.configuration})
-            self._tell_all()
+            self._gossip_to_all()
         self._endpoints.expire(now)
         self._exchange.tick(now)
         self._log_within_bound(now)
@@ -461,7 +464,7 @@
                 self._relay.slot_allocator.dispatch_queued(service)
 
     def resume_after_freeze(self, frozen_s: float) -> None:
-        """Distrust what was known before the process stood still."""
+        """Invalidate state that became outdated while the process was paused."""
         _LOG.warning("frozen", extra={"for_s": round(frozen_s, 2)})
         self._state.peers.resume_after_freeze(frozen_s)
         self._state.freshness.invalidate(monotonic())
@@ -471,12 +474,12 @@
         self._reader.resync()
 
     def _log_within_bound(self, now: float) -> None:
-        """Tell the log when this node can no longer vouch for its list, or can again.
+        """Log when the endpoint list exceeds its age bound, or meets the bound again.
 
         Notes
         -----
-        Such a node prefers endpoints whose own answers show that they have not left,
-        and serves on with the others: an old list is better than no answer.
+        A node whose list is too old prefers endpoints whose own answers show that they
+        have not left. It still uses the others: an old list is better than no answer.
         """
         freshness = self._state.freshness
         within_bound = freshness.within_bound(now) or not self._state.endpoints_known
@@ -491,10 +494,10 @@
             _LOG.warning("endpoints not vouched for", extra=extra)
 
     def _log_status(self, now: float) -> None:
-        """Tell the log what this node knows of the others, and what it has spent."""
+        """Log the known nodes, the age of their rows and this node's resource usage."""
         peers = self._state.peers
-        ages = [now - seen.last_seen_at for seen in peers.seen.values()]
-        told = [now - seen.last_seen_at for seen in peers.summaries.values()]
+        row_ages = [now - seen.last_seen_at for seen in peers.seen.values()]
+        summary_ages = [now - seen.last_seen_at for seen in peers.summaries.values()]
         usage = resource.getrusage(resource.RUSAGE_SELF)
         _LOG.info(
             "status",
@@ -503,8 +506,8 @@
                 "nodes_known": len(peers.states()) + 1,
                 "nodes_alive": len(peers.alive(now)) + 1,
                 "cell": [peers.bits, peers.cell.number, len(peers.seen) + 1],
-                "oldest_row_s": round(max(ages, default=0.0), 2),
-                "oldest_summary_s": round(max(told, default=0.0), 2),
+                "oldest_row_s": round(max(row_ages, default=0.0), 2),
+                "oldest_summary_s": round(max(summary_ages, default=0.0), 2),
                 "gossip_sent": [
                     self._gossip.sent_datagrams,
                     self._gossip.sent_bytes,
@@ -521,14 +524,14 @@
     def _on_departure(self, endpoint: EndpointId) -> None:
         self._exchange.note_departure(endpoint)
 
-    def _wake_exchange(self) -> None:
-        """Have news of the list told as soon as what comes with it is collected."""
-        if self._telling is None:
+    def _schedule_exchange(self) -> None:
+        """Schedule an exchange tick after a short delay, to collect further changes."""
+        if self._exchange_timer is None:
             loop = asyncio.get_running_loop()
-            self._telling = loop.call_later(TELL_S, self._tell_list)
+            self._exchange_timer = loop.call_later(TELL_S, self._tick_exchange)
 
-    def _tell_list(self) -> None:
-        self._telling = None
+    def _tick_exchange(self) -> None:
+        self._exchange_timer = None
         self._exchange.tick(monotonic())
 
     def _run_gossip(self, now: float) -> None:
@@ -545,11 +548,11 @@
         state.freshness.nodes = alive
         if peers.regroup(max(state.total_nodes, alive), now):
             _LOG.info("cells", extra={"bits": peers.bits, "cell": peers.cell.number})
-        known = {reporter_of(seen.row) for seen in peers.seen.values()}
-        known |= {str(cell) for cell in peers.summaries if cell.bits == peers.bits}
+        reporters = {reporter_of(seen.row) for seen in peers.seen.values()}
+        reporters |= {str(cell) for cell in peers.summaries if cell.bits == peers.bits}
         for bucket in state.buckets.values():
-            bucket.forget(known)
-        self._gossip.run_round(self._seeds)
+            bucket.forget(reporters)
+        self._gossip.run_round(self._gossip_seeds)
 
     def _refresh_own_row(self) -> None:
         state = self._state
@@ -571,19 +574,22 @@
         }
 
     def _announce(self) -> None:
-        """Tell all peers this node's row, unless that is about to happen."""
-        if self._announcement is None:
+        """Schedule a broadcast of this node's row, unless one is scheduled already."""
+        if self._announce_timer is None:
             loop = asyncio.get_running_loop()
-            wait_s = max(ANNOUNCE_S, ANNOUNCE_EACH_S * len(self._state.peers.seen))
-            self._announcement = loop.call_later(wait_s, self._announce_now)
+            delay_s = max(
+                ANNOUNCE_DELAY_S,
+                ANNOUNCE_DELAY_PER_NODE_S * len(self._state.peers.seen),
+            )
+            self._announce_timer = loop.call_later(delay_s, self._announce_now)
 
     def _announce_now(self) -> None:
-        self._announcement = None
+        self._announce_timer = None
         self._refresh_own_row()
         self._gossip.broadcast_row()
 
     def _on_summary(self, summary: CellSummary) -> None:
-        """Charge the teams' buckets with what the nodes of another cell have used."""
+        """Charge the teams' buckets with the usage of another cell."""
         state = self._state
         configuration = state.configuration
         if configuration is None or summary.cell.bits != state.peers.bits:
@@ -596,7 +602,8 @@
             if bucket is not None:
                 bucket.record_cell_usage(cell, run, spent, nodes, now)
 
-    def _on_news(self, row: PeerRow) -> None:
+    def _on_peer_row(self, row: PeerRow) -> None:
+        """Charge the teams' buckets with the usage of another node of this cell."""
         now = monotonic()
         reporter = reporter_of(row)
         configuration = self._state.configuration
@@ -608,8 +615,9 @@
                 continue
             bucket = self._state.bucket(team, now)
             if bucket is not None:
-                # A process that started before this one may have used its part
-                # long ago; what a younger one has used is all in this bucket's time.
+                # An older process may have used its total before this bucket existed,
+                # so its first report is only a baseline. The usage of a younger process
+                # falls entirely in the lifetime of this bucket.
                 older = row.incarnation < self._state.me.incarnation
                 bucket.receive(reporter, spent, spent if older else 0.0, now)
 
@@ -620,7 +628,7 @@
             self._relay.slot_allocator.dispatch_queued(service)
 
     def _gauges(self) -> dict[str, float]:
-        """Return what only the process can tell of itself."""
+        """Return the values of gauges that only the process can read."""
         return {
             "store_calls": float(self._store.calls),
             "endpoint_connections_opened": float(self._pool.opened),
--- a/poplarrelay/entry/relaying.py
+++ b/poplarrelay/entry/relaying.py
@@ -1,4 +1,4 @@
-"""The way of a request through a node, from its arrival to its final answer."""
+"""Relaying of a caller's request to endpoints, from arrival to final answer."""
 
 from __future__ import annotations
 
@@ -47,30 +47,32 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.request")
 
-#: Seconds after which a caller comes back to a node that knows no configuration yet.
-#: A node reads it within some milliseconds of reaching the store.
+#: Seconds after which a caller retries at a node that has no configuration yet.
+#: A node reads the configuration within milliseconds of reaching the store.
 UNREADY_RETRY_S = 0.5
-#: Silence, as a multiple of the route's target, after which an idempotent request is
-#: sent to a second endpoint: three times the time that it aims for is far outside
-#: what a loaded but sound endpoint takes.
-SILENCE_TARGETS = 3.0
-#: Shortest such silence in seconds.
-LEAST_SILENCE_S = 0.3
-#: Silence within a stream after which it goes on elsewhere. Engines pause for some
-#: hundred ms to read long prompts in, and callers leave after two seconds.
-STREAM_SILENCE_S = 1.5
-#: Seconds after the stop signal from which a node refuses streams, and calls. What
-#: comes later might not end before the process does; refused, it can go elsewhere.
-LAST_STREAM_S = 3.0
-LAST_CALL_S = 5.0
-#: Seconds after which a caller that a stopping node refused tries another one.
-ELSEWHERE_RETRY_S = 0.05
-#: Statuses of an endpoint that a repetition elsewhere may better.
-_REPEATABLE_STATUSES = frozenset((500, 502, 503, 504))
+#: Silence, as a multiple of the route's latency target, after which an idempotent
+#: request is sent to a second endpoint. A loaded but healthy endpoint answers well
+#: within three times the target.
+SILENCE_TIMEOUT_TARGETS = 3.0
+#: Lower limit of this silence timeout in seconds.
+MIN_SILENCE_TIMEOUT_S = 0.3
+#: Seconds of silence within a stream after which another endpoint continues it. Engines
+#: pause for some hundred ms to prefill long prompts, and callers leave after two
+#: seconds.
+STREAM_SILENCE_TIMEOUT_S = 1.5
+#: Seconds after the stop signal during which a node still accepts streams and calls.
+#: A later request might not end before the process does. When it is refused, the
+#: caller can send it to another node.
+ACCEPT_STREAMS_S = 3.0
+ACCEPT_CALLS_S = 5.0
+#: Seconds after which a caller that a stopping node refused tries another node.
+STOPPING_RETRY_S = 0.05
+#: Statuses of an endpoint for which a retry at another endpoint can succeed.
+_RETRYABLE_STATUSES = frozenset((500, 502, 503, 504))
 
 
 class Relay:
-    """Serves callers' requests.
+    """Handler of callers' requests: relays each one to endpoints.
 
     Parameters
     ----------
@@ -79,11 +81,11 @@
     pool : ConnectionPool
         Connections to endpoints.
     observe : callable
-        Takes the outcome of each request, for the metrics.
+        Called with route, status and seconds of each request, for the metrics.
     announce : callable
-        Tells all peers this node's row soon, out of turn.
+        Schedules an early broadcast of this node's row to all peers.
     backlog_client : BacklogClient
-        Keeps count of prompts in line at engines, with the other nodes.
+        Counts the prompts queued at engines, together with the other nodes.
     permits : PermitBroker
         Obtains permits for endpoints that state a limit.
     """
@@ -106,7 +108,7 @@
         self.slot_allocator = SlotAllocator(state, backlog_client, permits)
 
     async def handle(self, incoming: IncomingRequest, exchange: Exchange) -> None:
-        """Serve one request to its final answer."""
+        """Serve one request until its final answer is written."""
         request = decode_request(incoming)
         configuration = self._state.configuration
         if configuration is None or not self._state.endpoints_known:
@@ -123,19 +125,19 @@
         elif isinstance(verdict, Denied):
             refusal = Refusal(401, RefusalReason.DENIED)
             await self._response_writer.refuse(request, exchange, refusal)
-        elif self._comes_too_late(verdict.route):
-            refusal = Refusal(503, RefusalReason.STOPPING, ELSEWHERE_RETRY_S)
+        elif self._arrives_too_late(verdict.route):
+            refusal = Refusal(503, RefusalReason.STOPPING, STOPPING_RETRY_S)
             await self._response_writer.refuse(request, exchange, refusal)
         else:
             await self._serve_admitted(request, exchange, verdict, configuration)
 
-    def _comes_too_late(self, route: Route) -> bool:
-        """Return whether this node may have ended before a request has."""
+    def _arrives_too_late(self, route: Route) -> bool:
+        """Return whether this node might stop before the request ends."""
         stopping_at = self._state.stopping_at
         if stopping_at is None:
             return False
         streams = route.kind is RouteKind.STREAMING
-        limit_s = LAST_STREAM_S if streams else LAST_CALL_S
+        limit_s = ACCEPT_STREAMS_S if streams else ACCEPT_CALLS_S
         return monotonic() - stopping_at > limit_s
 
     async def _serve_admitted(
@@ -146,9 +148,9 @@
         configuration: Configuration,
     ) -> None:
         route, team = admitted.route, admitted.team
-        patience_s = route.timeout_s
-        if request.patience_s is not None:
-            patience_s = min(patience_s, request.patience_s)
+        timeout_s = route.timeout_s
+        if request.timeout_s is not None:
+            timeout_s = min(timeout_s, request.timeout_s)
         context = RequestContext(
             request=request,
             exchange=exchange,
@@ -156,7 +158,7 @@
             team=team,
             priority=admitted.priority,
             service=choose_service(route, self._state.rng),
-            until=request.started_at + patience_s,
+            until=request.started_at + timeout_s,
             version=configuration.version,
             progress=StreamProgress(request.last_event_id),
             teams_configured=bool(configuration.teams),
@@ -173,7 +175,7 @@
                 now,
             )
             try:
-                refusal = await self._work(context)
+                refusal = await self._run_before_deadline(context)
             except asyncio.CancelledError:
                 self._response_writer.log_end(context, 0, "caller left")
                 raise
@@ -185,53 +187,55 @@
 
     # attempts
 
-    async def _work(self, context: RequestContext) -> Refusal | None:
-        """Make attempts until one answers; return the refusal if none does."""
+    async def _run_before_deadline(self, context: RequestContext) -> Refusal | None:
+        """Run attempts until one answers; return a refusal if none answers in time."""
         if not context.route.repeatable and not context.streams:
-            # The work cannot be undone and its answer is near: it is let finish,
-            # so that a caller that asks elsewhere finds it done.
+            # The work cannot be undone, and its answer is due soon. It runs to its end
+            # even if the caller leaves: a caller that asks at another node then finds
+            # it done.
             context.exchange.on_gone(lambda: None)
         try:
             async with asyncio.timeout(max(0.0, context.remaining_s)):
-                return await self._attempts(context)
+                return await self._run_attempts(context)
         except TimeoutError:
             if context.may_have_run:
                 return Refusal(504, RefusalReason.LATE)
             return Refusal(503, RefusalReason.FULL, NO_ENDPOINT_RETRY_S)
 
-    async def _attempts(self, context: RequestContext) -> Refusal | None:
+    async def _run_attempts(self, context: RequestContext) -> Refusal | None:
+        """Run attempts until one answers or no retry is allowed."""
         sends = 0
         while True:
             choice = await self._acquire_slot(context)
             if isinstance(choice, Refusal):
-                return await self._fall_back(context, choice)
+                return await self._pass_on_last_error(context, choice)
             last = (
                 not context.route.repeatable or sends + 1 >= context.route.max_attempts
             )
-            result = await self._attempt(context, choice, last)
+            result = await self._run_attempt(context, choice, last)
             if not isinstance(result, NotRun) or result.arrived:
                 sends += 1
             if isinstance(result, Streamed):
                 self._response_writer.log_end(context, HTTPStatus.OK, "streamed")
                 return None
             if isinstance(result, Answered):
-                if result.status not in _REPEATABLE_STATUSES:
+                if result.status not in _RETRYABLE_STATUSES:
                     await self._response_writer.pass_on(context, result)
                     return None
                 context.last_error_response = result
-            refusal = self._may_go_on(context, result, sends)
+            refusal = self._refuse_retry(context, result, sends)
             if refusal is not None:
-                return await self._fall_back(context, refusal)
+                return await self._pass_on_last_error(context, refusal)
 
     async def _acquire_slot(self, context: RequestContext) -> Choice | Refusal:
-        """Take a place, or refuse a request that is blocked."""
+        """Take a slot at an endpoint, or refuse the request."""
         refusal = self._refuse_blocked(context)
         if refusal is not None:
             return refusal
         choice = await self.slot_allocator.take(context)
         if isinstance(choice, Refusal):
             return choice
-        # Other copies of the request may have crashed endpoints while it waited.
+        # The caller's retries of this request can crash endpoints while it waits.
         refusal = self._refuse_blocked(context)
         if refusal is None:
             return choice
@@ -239,7 +243,7 @@
         return refusal
 
     def _refuse_blocked(self, context: RequestContext) -> Refusal | None:
-        """Return a refusal if the request is blocked for crashes of endpoints."""
+        """Return a refusal if the request is blocked because it crashes endpoints."""
         crashes = self._state.crashes
         blocked_s = crashes.blocked_s(
             context.team_name, context.fingerprint, monotonic()
@@ -252,40 +256,42 @@
             return Refusal(502, RefusalReason.CRASHES, detail=detail)
         return Refusal(503, RefusalReason.CRASHES, blocked_s, detail)
 
-    async def _fall_back(
+    async def _pass_on_last_error(
         self, context: RequestContext, refusal: Refusal
     ) -> Refusal | None:
-        """Pass on an endpoint's own bad answer, if there was one, before ours."""
+        """Pass on the last error response of an endpoint, or return the refusal."""
         if context.last_error_response is None or context.exchange.begun:
             return refusal
         await self._response_writer.pass_on(context, context.last_error_response)
         return None
 
-    def _may_go_on(
+    def _refuse_retry(
         self, context: RequestContext, result: AttemptResult, sends: int
     ) -> Refusal | None:
-        """Return why a request may not be sent to another endpoint."""
+        """Return a refusal if the request must not be sent to another endpoint."""
         ran = not isinstance(result, NotRun)
         if ran and not context.route.repeatable:
             return Refusal(502, RefusalReason.UNKNOWN, detail=result.why)
         if isinstance(result, NotRun) and not result.arrived:
             if len(context.tried) > 6:
-                return self._not_run(context, result)
+                return self._refuse_after_failure(context, result)
             return None
         now = monotonic()
         if sends >= context.route.max_attempts or not self._state.budget(
             context.service
         ).take(now, self._state.count_nodes(now)):
-            return self._not_run(context, result)
+            return self._refuse_after_failure(context, result)
         return None
 
-    def _not_run(self, context: RequestContext, result: AttemptResult) -> Refusal:
+    def _refuse_after_failure(
+        self, context: RequestContext, result: AttemptResult
+    ) -> Refusal:
         if context.may_have_run:
             return Refusal(502, RefusalReason.UNKNOWN, detail=result.why)
         wait_s = self.slot_allocator.retry_after(context)
         return Refusal(503, RefusalReason.NOT_RUN, wait_s, result.why)
 
-    async def _attempt(
+    async def _run_attempt(
         self, context: RequestContext, choice: Choice, last: bool
     ) -> AttemptResult:
         row = choice.endpoint
@@ -296,23 +302,23 @@
         plan = AttemptPlan(
             endpoint=row,
             until=context.until,
-            patience_s=None if last else self._patience(context),
+            patience_s=None if last else self._silence_timeout(context),
             team=None if context.team is None else context.team.name,
             priority=context.priority if context.streams else None,
             fetch_from=choice.fetch_from,
             pass_credentials=not context.teams_configured,
         )
 
-        unread = choice.unread_tokens
+        queued_tokens = choice.unread_tokens
         ahead_requests = row.load - 1
-        row.prefill_tokens += unread
-        self._tell_placement(context, choice)
+        row.prefill_tokens += queued_tokens
+        self._count_queued_prompt(context, choice)
         first_event_s: float | None = None
 
-        def begun(took_s: float) -> None:
-            nonlocal unread, first_event_s
-            row.prefill_tokens -= unread
-            unread = 0
+        def on_begun(took_s: float) -> None:
+            nonlocal queued_tokens, first_event_s
+            row.prefill_tokens -= queued_tokens
+            queued_tokens = 0
             first_event_s = took_s
             if context.request.prompt_tokens:
                 self._backlog_client.remove_prompt(
@@ -329,13 +335,13 @@
             context.exchange,
             plan,
             self._pool,
-            begun,
+            on_begun,
             on_limit,
             context.progress,
         )
         ran_before = context.may_have_run
-        # True until the endpoint says otherwise: the wait may end at the deadline,
-        # in the middle of the attempt.
+        # True until the endpoint reports that the request did not run: the deadline can
+        # cancel this method in the middle of the attempt.
         context.may_have_run = True
         end = PromptEnd.NOT_BEGUN
         try:
@@ -343,7 +349,7 @@
             if isinstance(result, NotRun) and result.gone:
                 end = PromptEnd.ENGINE_GONE
         finally:
-            row.prefill_tokens -= unread
+            row.prefill_tokens -= queued_tokens
             if context.request.prompt_tokens and first_event_s is None:
                 self._backlog_client.remove_prompt(
                     row.endpoint, context.request.request, end
@@ -351,7 +357,7 @@
             self.slot_allocator.leave(context.service, row)
         if isinstance(result, NotRun):
             context.may_have_run = ran_before
-        self._judge(context, row, result)
+        self._update_health(context, row, result)
         self._note_crash_or_answer(context, row, result)
         _LOG.info(
             "attempt",
@@ -363,16 +369,16 @@
                 "reason": choice.reason,
                 "prompt_tokens": context.request.prompt_tokens,
                 "unread_tokens": choice.unread_tokens,
-                "ahead_ms": _milliseconds(choice.queue_s),
+                "ahead_ms": _to_milliseconds(choice.queue_s),
                 "ahead_requests": ahead_requests,
-                "due_ms": _milliseconds(choice.queue_s + choice.prefill_s),
-                "first_event_ms": _milliseconds(first_event_s),
+                "due_ms": _to_milliseconds(choice.queue_s + choice.prefill_s),
+                "first_event_ms": _to_milliseconds(first_event_s),
                 "load": row.load,
                 "limit_per_s": row.limit_per_s,
                 "avoided": row.health.avoided_until > sent_at,
                 "result": type(result).__name__,
                 "why": result.why,
-                "took_ms": _milliseconds(monotonic() - sent_at),
+                "took_ms": _to_milliseconds(monotonic() - sent_at),
                 "list_age_s": list_age_s,
                 "list_as_of": list_as_of,
             },
@@ -382,7 +388,7 @@
     def _note_crash_or_answer(
         self, context: RequestContext, row: Endpoint, result: AttemptResult
     ) -> None:
-        """Note a crash of the endpoint, or its complete answer."""
+        """Record a crash of the endpoint, or its complete answer."""
         crashes, now = self._state.crashes, monotonic()
         team, fingerprint = context.team_name, context.fingerprint
         if isinstance(result, Answered | Streamed):
@@ -392,9 +398,9 @@
             return
         broken = isinstance(result, Broken | StreamBroken) and result.closed
         if not broken or row.leaving:
-            # An endpoint that leaves may close connections without a crash.
+            # A leaving endpoint closes connections without having crashed.
             return
-        counted = crashes.note_crash(team, fingerprint, endpoint_run(row), now)
+        crash_count = crashes.note_crash(team, fingerprint, endpoint_run(row), now)
         _LOG.warning(
             "endpoint closed on request",
             extra={
@@ -402,12 +408,12 @@
                 "fingerprint": fingerprint,
                 "endpoint": row.endpoint,
                 "service": context.service,
-                "crashes": counted,
+                "crashes": crash_count,
             },
         )
 
-    def _tell_placement(self, context: RequestContext, choice: Choice) -> None:
-        """Have the engine's keeper and the demand count a prompt to be read."""
+    def _count_queued_prompt(self, context: RequestContext, choice: Choice) -> None:
+        """Add the prompt to the demand and to the queue that the coordinator counts."""
         request = context.request
         if not request.prompt_tokens:
             return
@@ -425,25 +431,29 @@
             )
         )
 
-    def _patience(self, context: RequestContext) -> float:
+    def _silence_timeout(self, context: RequestContext) -> float:
+        """Return the seconds of silence after which an attempt is abandoned."""
         if context.streams:
-            return max(STREAM_SILENCE_S, min(2.0, 2 * context.route.target_s))
+            return max(STREAM_SILENCE_TIMEOUT_S, min(2.0, 2 * context.route.target_s))
         return min(
-            max(LEAST_SILENCE_S, SILENCE_TARGETS * context.route.target_s),
+            max(
+                MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_TARGETS * context.route.target_s
+            ),
             0.5 * max(0.05, context.remaining_s),
         )
 
     def _count_usage(self, context: RequestContext) -> None:
+        """Count the request once in its team's usage, when it starts to run."""
         if context.execution_started:
             return
         context.execution_started = True
         if context.team is not None:
             self._state.usage.note(context.team.name, self._state.clock.now())
 
-    def _judge(
+    def _update_health(
         self, context: RequestContext, row: Endpoint, result: AttemptResult
     ) -> None:
-        """Learn from an attempt how the endpoint fares."""
+        """Update the endpoint's health from the result of an attempt."""
         now = monotonic()
         peers = self._state.endpoints.of(context.service)
         if isinstance(result, Streamed):
@@ -454,9 +464,9 @@
             return
         if isinstance(result, NotRun) and result.arrived and not result.gone:
             return
-        # An endpoint that has crashed and started again refuses what is meant for its
-        # former run at once, and has nothing in line: it would seem the best choice
-        # for every request until the list shows the new run.
+        # An endpoint that has crashed and restarted refuses requests for its former run
+        # at once, and its queue is empty. If this were no failure, it would look like
+        # the best choice for every request until the list shows the new run.
         certain = isinstance(result, NotRun)
         if certain:
             self._pool.forget(row.address)
@@ -475,5 +485,5 @@
             )
 
 
-def _milliseconds(seconds: float | None) -> float | None:
+def _to_milliseconds(seconds: float | None) -> float | None:
     return None if seconds is None else round(1000 * seconds, 1)
--- a/poplarrelay/entry/requests.py
+++ b/poplarrelay/entry/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request as the decisions see it."""
+"""A caller's request, decoded from HTTP."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 __all__ = ["CallerRequest", "PromptPart"]
 
-#: Digest size; the hexadecimal fingerprint has twice as many characters.
+#: Size of the digest in bytes; the hexadecimal fingerprint has two characters a byte.
 FINGERPRINT_BYTES = 12
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt, which other requests may share.
+    """A part of a prompt that other requests can share.
 
     Attributes
     ----------
     part : str
-        Its id; the same id stands for the same tokens.
+        Id of the part; the same id stands for the same tokens.
     tokens : int
-        Its length.
+        Length of the part in tokens.
     """
 
     part: str
@@ -37,30 +37,30 @@
     Attributes
     ----------
     request : RequestId
-        The caller's id of this try; each try has its own.
+        Id of this try, set by the caller; each retry has another id.
     path : str
-        Path without the query, for the choice of the route.
+        Path without the query; it selects the route.
     method, target, body : bytes
-        As received, to be passed on unchanged.
+        As received; they are forwarded unchanged.
     has_body : bool
-        Whether a body came with it, be it empty.
-    passed_headers : list
-        Headers to be passed on: those that concern only one connection, and those
-        that are this system's to set, are not among them.
+        Whether the request has a body, even an empty one.
+    forwarded_headers : list
+        Headers for the endpoint, without those that concern only one connection and
+        those that this system sets.
     started_at : float
-        Monotonic time of its first byte.
-    patience_s : float or None
-        How long the caller will wait, None if it does not say.
+        Monotonic time at which the first byte arrived.
+    timeout_s : float or None
+        Seconds that the caller waits for the answer, None if not stated.
     key : str or None
-        The caller's key, where it sent one.
+        The caller's key, None if it sent none.
     credentials : bytes or None
-        The header that holds it, for endpoints that check callers themselves.
+        The header that holds the key, for endpoints that check callers themselves.
     prompt_tokens, max_output_tokens : int or None
-        The size of a generation, None where the request states none.
+        Token counts of a generation, None if the request states none.
     prefix : tuple of PromptPart
-        The prompt's parts in order; the last one is the request's own.
+        The prompt's parts in order; other requests do not share the last one.
     last_event_id : bytes or None
-        Where the caller wants a stream to go on.
+        Id of the event after which the caller resumes a stream.
     """
 
     request: RequestId
@@ -70,9 +70,9 @@
     target: bytes
     body: bytes
     has_body: bool
-    passed_headers: Headers
+    forwarded_headers: Headers
     started_at: float
-    patience_s: float | None = None
+    timeout_s: float | None = None
     key: str | None = None
     credentials: bytes | None = None
     prompt_tokens: int | None = None
@@ -82,7 +82,7 @@
 
     @property
     def tokens(self) -> int:
-        """Return the tokens that it reads and may generate."""
+        """Return the prompt tokens plus the largest number of output tokens."""
         return (self.prompt_tokens or 0) + (self.max_output_tokens or 0)
 
     def fingerprint(self, team: TeamId | None) -> RequestFingerprint:
@@ -103,12 +103,12 @@
 
     @property
     def shared_tokens(self) -> int:
-        """Return the tokens of the parts that other requests may share."""
+        """Return the number of tokens in the parts that other requests can share."""
         return sum(part.tokens for part in self.prefix[:-1])
 
     @property
     def affinity_key(self) -> str | None:
-        """Return the id of the longest part that other requests may share."""
+        """Return the id of the last part that other requests can share."""
         if len(self.prefix) < 2:
             return None
         return self.prefix[-2].part
--- a/poplarrelay/entry/responses.py
+++ b/poplarrelay/entry/responses.py
@@ -1,4 +1,4 @@
-"""Final answers to callers, and the log line that goes with each."""
+"""Final answers to callers, and the log line of each."""
 
 from __future__ import annotations
 
@@ -20,20 +20,21 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.request")
 
-#: Statuses that promise that a request has not run. From an endpoint that does not
-#: say so expressly they are no promise, and must not reach the caller as one.
-_PROMISES = frozenset((408, 421, 429, 503))
+#: Statuses that tell a caller that its request has not run. An endpoint that sends one
+#: without stating expressly that the request did not run gives no such guarantee, so
+#: the status is not passed on.
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class ResponseWriter:
-    """Writes the final answer of each request, exactly one.
+    """Writer of exactly one final answer to each request.
 
     Parameters
     ----------
     state : EntryState
         The node's tables.
     observe : callable
-        Takes route, status and seconds of each request, for the metrics.
+        Called with route, status and seconds of each request, for the metrics.
     """
 
     def __init__(
@@ -45,12 +46,12 @@
     async def refuse(
         self, request: CallerRequest, exchange: Exchange, refusal: Refusal
     ) -> None:
-        """Refuse a request that the configuration does not admit, or not now."""
+        """Refuse a request that has not been admitted."""
         await self._write_refusal(request, exchange, refusal)
 
     async def pass_on(self, context: RequestContext, answer: Answered) -> None:
-        """Pass on an endpoint's whole answer."""
-        if answer.status in _PROMISES:
+        """Pass on an endpoint's complete answer."""
+        if answer.status in _NOT_RUN_STATUSES:
             refusal = Refusal(502, RefusalReason.UNKNOWN, detail=answer.why)
             await self.end(context, refusal)
             return
@@ -58,10 +59,10 @@
         self.log_end(context, answer.status, "answered")
 
     async def end(self, context: RequestContext, refusal: Refusal) -> None:
-        """End a request for which no endpoint's answer is passed on."""
+        """End a request that has no endpoint's answer to pass on."""
         if context.exchange.begun:
-            # Part of the stream is out. Breaking the connection tells the caller
-            # that it is not whole.
+            # The caller already has a part of the stream. A reset of the connection
+            # shows that the stream is incomplete.
             context.exchange.abort()
             self.log_end(context, 0, f"broken off: {refusal.reason.value}")
             return
@@ -88,7 +89,7 @@
         if context is not None:
             self.log_end(context, status, refusal.reason.value, refusal)
             return
-        version = self._state.configuration
+        configuration = self._state.configuration
         _LOG.info(
             "refused",
             extra={
@@ -97,7 +98,9 @@
                 "path": request.path,
                 "status": status,
                 "why": refusal.reason.value,
-                "configuration": None if version is None else version.version,
+                "configuration": (
+                    None if configuration is None else configuration.version
+                ),
             },
         )
         self._observe("none", str(int(status)), monotonic() - request.started_at)
@@ -109,10 +112,10 @@
         outcome: str,
         refusal: Refusal | None = None,
     ) -> None:
-        """Write the line that ends a request's log, and count it."""
+        """Log the end of a request, and report it to the metrics."""
         now = monotonic()
         took_s = now - context.request.started_at
-        first_at = context.progress.first_event_at
+        first_event_at = context.progress.first_event_at
         extra = {
             "request": context.request.request,
             "fingerprint": context.fingerprint,
@@ -132,9 +135,9 @@
         if context.quota_left is not None:
             extra["quota_cost"] = context.quota_cost
             extra["quota_left"] = round(context.quota_left)
-        if first_at is not None:
+        if first_event_at is not None:
             extra["first_event_ms"] = round(
-                1000 * (first_at - context.request.started_at), 1
+                1000 * (first_event_at - context.request.started_at), 1
             )
         if refusal is not None:
             extra["retry_after_s"] = refusal.retry_after_s
--- a/poplarrelay/entry/settings.py
+++ b/poplarrelay/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry node: a JSON file, checked as a whole."""
+"""Settings of an entry node, read from a JSON file and checked together."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
     Attributes
     ----------
     callers, readiness, discovery : str
-        For requests, for the platform's readiness checks, for callers that ask
-        where to connect.
+        Addresses for callers' requests, for the platform's readiness checks and for
+        callers that ask which nodes to connect to.
     control : str
-        For peers and operators.
+        Address for peers and operators.
     metrics : str or None
-        For those who collect metrics, apart from the control address.
+        Additional address for metrics, which the control address serves too.
     gossip_port : int
-        UDP port for news between nodes, the same on all nodes.
+        UDP port of the gossip between nodes, the same on all nodes.
     """
 
     callers: str = Field(pattern=ADDRESS_PATTERN)
@@ -63,12 +63,15 @@
 
     Attributes
     ----------
-    store, cloud : str
-        Addresses of the store and of the API for usage and orders.
+    store : str
+        Address of the store.
+    cloud : str or None
+        Address of the API for usage reports and orders of endpoints.
     duties : str
-        Duties that the API knows, joined by commas.
+        Names of the API's duties, joined by commas.
     group_ttl_min_ms : int
-        Shortest time for which the store keeps a silent member in a group.
+        Shortest time in milliseconds for which the store keeps a silent member in a
+        group.
     """
 
     store: str = Field(pattern=ADDRESS_PATTERN)
@@ -78,26 +81,29 @@
 
 
 class BoundSettings(StrictModel):
-    """What the operators of the platform hold the system to.
+    """Bounds that the operators of the platform require the system to keep.
 
     Attributes
     ----------
     leaving_endpoint_ms : int
-        Time after which a leaving endpoint may get no new work.
+        Time after which a leaving endpoint must get no new work.
     endpoint_heartbeat_ms : int
-        Time between two records of an endpoint; three without one, and it lapses.
+        Time between two records of an endpoint. An endpoint without a record for three
+        times as long expires.
     stop_grace_s : float
         Time from the stop signal to the end of the process.
     retry_ratio, retry_slack, retry_window_s : float
-        Repeated sends in a window: a share of the requests, and a number besides.
+        Retries allowed in a window of this length: the ratio of the requests in it,
+        plus the slack.
     quota_window_s, quota_overrun, quota_slack : float
-        Tolerance of the teams' quotas over all nodes.
+        Tolerance of the teams' quotas over all nodes: window, relative overrun in it
+        and absolute slack.
     lease_ms : int
-        Time within which a duty may not pass to another node and back.
+        Time in which a duty must not pass to another node and back.
     usage_window_s, usage_late_s : float
-        Length of a usage window, and how long after it the report is due.
+        Length of a usage window, and time from its end until its report is due.
     address_ttl_most_s : float
-        Longest time for which callers keep an answer of discovery.
+        Longest time for which callers keep addresses from discovery.
     """
 
     leaving_endpoint_ms: int = Field(default=2000, gt=0)
@@ -121,13 +127,13 @@
     Attributes
     ----------
     node : str
-        The node's name, unique among the nodes.
+        Name of the node, unique among the nodes.
     failure_domain, failure_domains : str, str
-        Where the node's host stands, and all domains, joined by commas.
+        Failure domain of the node's host, and all failure domains, joined by commas.
     seeds : str
         Control addresses of up to three other nodes, joined by commas.
     first_start : bool
-        Whether the whole system starts for the first time.
+        Whether the complete system starts for the first time.
     """
 
     node: str = Field(pattern=NAME_PATTERN)
@@ -147,7 +153,7 @@
         Raises
         ------
         SettingsError
-            With every fault of the file.
+            If the file is invalid; the exception has all faults.
         """
         return load_json_file(cls, path)
 
--- a/poplarrelay/platform/cloud.py
+++ b/poplarrelay/platform/cloud.py
@@ -16,8 +16,8 @@
 
 __all__ = ["CloudClient", "CloudOutcome", "DutyStamp", "EndpointOrder"]
 
-#: Seconds for a new connection, and for an answer. A lost answer is as good as a
-#: late one: both calls may be repeated.
+#: Timeouts in seconds of a new connection and of an answer. A call without an answer in
+#: time is sent again: both kinds of calls can be repeated safely.
 CONNECT_TIMEOUT_S = 1.0
 ANSWER_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 65_536
@@ -27,13 +27,13 @@
 
 
 class CloudOutcome(Enum):
-    """What became of a call.
+    """Outcome of a call.
 
     CONFLICT
-        Refused: another holder has used a higher token, or (for an order) no such
-        endpoints are to be had. The platform uses one status for both.
+        Refused: another holder has used a higher fencing token, or (for an order) no
+        such endpoints are available. The platform uses one status for both.
     UNKNOWN
-        No answer; it may be carried out later.
+        No answer; the platform may still execute the call later.
     """
 
     DONE = "done"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyStamp:
-    """Who gives an order, and the number that orders holders in time."""
+    """Holder of a duty, and its fencing token, which is higher for later holders."""
 
     holder: NodeId
     fencing_token: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointOrder:
-    """How many endpoints of one kind a service shall have in a failure domain."""
+    """Target number of endpoints of one kind for a service in a failure domain."""
 
     service: ServiceName
     domain: DomainId
@@ -61,12 +61,12 @@
 
 
 class CloudClient:
-    """Calls to the platform's API.
+    """Client of the platform's API.
 
     Parameters
     ----------
     address : tuple of str and int
-        Its address.
+        Address of the API.
     """
 
     def __init__(self, address: Address) -> None:
@@ -97,7 +97,7 @@
     async def report_usage(
         self, stamp: DutyStamp, window: int, counts: dict[TeamId, int]
     ) -> tuple[CloudOutcome, str]:
-        """Report how many requests of each team began in a window."""
+        """Report the number of requests of each team that began in a window."""
         value = {"windowId": window, "counts": dict(counts)}
         return await self._post("/usage", stamp, value)
 
@@ -115,5 +115,5 @@
         return await self._post("/scale", stamp, value)
 
     def close(self) -> None:
-        """Drop the kept connections."""
+        """Abort the idle connections."""
         self._client.close()
--- a/poplarrelay/platform/discovery.py
+++ b/poplarrelay/platform/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's questions to every node: where to connect, and readiness."""
+"""Paths and bodies of the platform's discovery and readiness requests to a node."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def encode_addresses(addresses: Sequence[str], ttl_s: float) -> bytes:
-    """Return the body that names the addresses to connect to, and for how long."""
+    """Return the body with addresses to connect to and the time to keep them."""
     return orjson.dumps({"addresses": list(addresses), "ttlS": ttl_s})
--- a/poplarrelay/platform/headers.py
+++ b/poplarrelay/platform/headers.py
@@ -1,7 +1,7 @@
-"""Headers between callers, this system and the endpoints.
+"""HTTP headers between callers, this system and the endpoints.
 
-Names on the wire are spelled here only. Decoding turns a caller's request into a
-`CallerRequest`, and encoding makes from it the headers that an endpoint gets.
+Only this module has the names of these headers. It decodes a caller's request into a
+`CallerRequest` and encodes the headers that an endpoint gets.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 _USAGE = b"x-poplarrelay-token-usage"
 _PREFIX = b"x-poplarrelay-prefix-hash"
 _LAST_EVENT = b"Last-Event-Id"
-#: Requests per second that an endpoint accepts from all nodes.
+#: Number of requests per second that an endpoint accepts from all nodes together.
 _LIMIT = b"server-limit"
-#: Address of an endpoint from which the KV cache of the prompt is fetched first.
+#: Address of an endpoint from which the engine first fetches the prompt's KV cache.
 _FETCH_FROM = b"Kv-Fetch"
 
 #: Headers that concern one connection only.
@@ -55,9 +55,10 @@
         b"expect",
     )
 )
-#: Headers that this system sets, or that frame the body anew. A caller that sends
-#: them would choose another team's name, another's KV cache or an endpoint.
-_OURS = frozenset(
+#: Headers that this system sets, or that frame the body again, so they are not
+#: forwarded. With them a caller could choose another team's name, another team's KV
+#: cache or an endpoint.
+_SYSTEM_HEADERS = frozenset(
     (
         _DEADLINE.lower(),
         _TARGET.lower(),
@@ -77,11 +78,11 @@
         _FETCH_FROM.lower(),
     )
 )
-#: Prefix of headers that a caller's ``Connection`` header cannot remove. Without
-#: this it could strip a request's id or size on the way to the endpoint.
-_KEPT_PREFIX = b"x-poplarrelay-"
-_KEPT = frozenset((b"host", b"authorization", b"content-length", b"last-event-id"))
-#: Range of priorities that engines know; 0 goes first.
+#: Prefix of this system's headers. A caller's ``Connection`` header cannot remove them;
+#: otherwise it could remove a request's id or size on the way to the endpoint.
+_OWN_PREFIX = b"x-poplarrelay-"
+_PROTECTED = frozenset((b"host", b"authorization", b"content-length", b"last-event-id"))
+#: Largest priority value that engines accept; requests with 0 are served first.
 _LOWEST_PRIORITY = 9
 
 
@@ -93,7 +94,7 @@
     return {
         name
         for name in named
-        if name not in _KEPT and not name.startswith(_KEPT_PREFIX)
+        if name not in _PROTECTED and not name.startswith(_OWN_PREFIX)
     }
 
 
@@ -102,7 +103,7 @@
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
-def _milliseconds(value: bytes | None) -> float | None:
+def _parse_ms(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -111,7 +112,7 @@
         return None
 
 
-def _bearer(value: bytes | None) -> str | None:
+def _bearer_key(value: bytes | None) -> str | None:
     if value is None:
         return None
     scheme, _, key = value.strip().partition(b" ")
@@ -147,13 +148,13 @@
 
 
 def decode_request(incoming: IncomingRequest) -> CallerRequest:
-    """Return a caller's request in the product's own terms."""
+    """Decode a caller's HTTP request."""
     headers = incoming.headers
     path, _, _ = incoming.target.partition(b"?")
     if path.startswith((b"http://", b"https://")):
         rest = path.split(b"//", 1)[1]
         path = b"/" + rest.partition(b"/")[2]
-    prompt_tokens, most_output = _token_usage(header_value(headers, _USAGE))
+    prompt_tokens, max_output_tokens = _token_usage(header_value(headers, _USAGE))
     return CallerRequest(
         request=RequestId(
             (header_value(headers, _ATTEMPT.lower()) or b"").decode("latin-1")
@@ -164,17 +165,17 @@
         target=incoming.target,
         body=incoming.body,
         has_body=incoming.has_body,
-        passed_headers=[
+        forwarded_headers=[
             (name, value)
             for name, value in _end_to_end(headers)
-            if name.lower() not in _OURS
+            if name.lower() not in _SYSTEM_HEADERS
         ],
         started_at=incoming.started_at,
-        patience_s=_milliseconds(header_value(headers, _DEADLINE.lower())),
-        key=_bearer(header_value(headers, b"authorization")),
+        timeout_s=_parse_ms(header_value(headers, _DEADLINE.lower())),
+        key=_bearer_key(header_value(headers, b"authorization")),
         credentials=header_value(headers, b"authorization"),
         prompt_tokens=prompt_tokens,
-        max_output_tokens=most_output,
+        max_output_tokens=max_output_tokens,
         prefix=_prefix(header_value(headers, _PREFIX)),
         last_event_id=header_value(headers, _LAST_EVENT.lower()),
     )
@@ -182,24 +183,25 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHeaders:
-    """What this system says to an endpoint about one attempt.
+    """Values of the headers that this system sets on one attempt.
 
     Attributes
     ----------
     endpoint : EndpointId
-        The only endpoint that may run it; an address may have passed to another.
+        The only endpoint that is allowed to run the request. Another endpoint may have
+        got the address meanwhile.
     remaining_s : float
-        Time after which nobody waits for the answer any more.
+        Seconds until the caller stops waiting for the answer.
     priority : int or None
         Rank of a generation in the engine's queue.
     resume_after : bytes or None
         Id of the last event that the caller has.
     fetch_from : tuple of str and int, or None
-        Address of an endpoint that probably keeps the KV cache of the prompt's
-        shared part.
+        Address of an endpoint that probably has the KV cache of the prompt's shared
+        part.
     pass_credentials : bool
-        Whether the endpoint gets the caller's credentials: only where this system
-        knows no keys. A key that it knows stays here.
+        Whether the endpoint gets the caller's credentials. It gets them only if the
+        configuration has no teams with keys; a team's key is never forwarded.
     """
 
     endpoint: EndpointId
@@ -212,10 +214,10 @@
 
 
 def attempt_headers(request: CallerRequest, attempt: AttemptHeaders) -> Headers:
-    """Return the headers that an endpoint gets."""
+    """Return the headers of an attempt's request to an endpoint."""
     remaining_ms = max(1, int(1000 * attempt.remaining_s))
     headers: Headers = [
-        *request.passed_headers,
+        *request.forwarded_headers,
         (_DEADLINE, str(remaining_ms).encode()),
         (_TARGET, attempt.endpoint.encode()),
     ]
@@ -237,7 +239,7 @@
 
 
 def response_headers(headers: Headers) -> Headers:
-    """Return the headers of an endpoint's response that the caller gets."""
+    """Return those headers of an endpoint's response that the caller gets."""
     return [
         (name, value)
         for name, value in _end_to_end(headers)
@@ -246,12 +248,12 @@
 
 
 def not_executed(status: int, headers: Headers) -> bool:
-    """Return whether the endpoint says that it did not and will not run it."""
+    """Return whether a response states that the request did not and will not run."""
     return status == 421 or header_value(headers, _NOT_EXECUTED) is not None
 
 
 def echoed_request(headers: Headers) -> RequestId | None:
-    """Return the id of the request that a response answers, if it says so."""
+    """Return the id of the request that a response answers, None if not stated."""
     value = header_value(headers, _ATTEMPT.lower())
     return None if value is None else RequestId(value.decode("latin-1"))
 
@@ -261,7 +263,7 @@
 
     Notes
     -----
-    If the header is repeated, the lowest valid value applies.
+    If the header occurs several times, the lowest valid value applies.
     """
     values = [value for name, value in headers if name.lower() == _LIMIT]
     if not values:
@@ -273,7 +275,7 @@
 
 
 def _rate(value: bytes) -> float | None:
-    """Parse a finite, non-negative number; return None if the value is invalid."""
+    """Return a finite, non-negative number, None if the value is anything else."""
     try:
         rate = float(value.decode("ascii"))
     except ValueError:
--- a/poplarrelay/platform/records.py
+++ b/poplarrelay/platform/records.py
@@ -1,7 +1,6 @@
-"""Records that the operator and the endpoints write to the platform's store.
+"""Decoding of the records that operators and endpoints write to the platform's store.
 
-The formats are decoded here once; the rest of the code sees only the product's
-own types.
+Only this module handles the records' formats; other modules use the decoded types.
 """
 
 from __future__ import annotations
@@ -38,18 +37,20 @@
     "decode_endpoint",
 ]
 
-#: Topic whose newest record under `CONFIGURATION_KEY` is the configuration.
+#: Topic in which the newest record with the key `CONFIGURATION_KEY` is the
+#: configuration.
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
-#: Topic in which every endpoint keeps one record under its id.
+#: Topic with the record of every endpoint; the key is the endpoint's id.
 ENDPOINTS_TOPIC = "keyed.servers"
 
-#: Most requests at once that an endpoint may state, far above any real one: a number
-#: that size in a foreign record would draw all requests to it.
-MOST_SLOTS = 1_000_000
-LAST_PORT = 65_535
+#: Largest number of slots that an endpoint can state, far above that of any real
+#: endpoint. An endpoint with a larger number, in a record from a foreign writer, would
+#: attract all requests.
+MAX_SLOTS = 1_000_000
+MAX_PORT = 65_535
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAMING,
@@ -58,20 +59,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What an endpoint says of itself.
+    """Decoded record of an endpoint about itself.
 
     Attributes
     ----------
     leaving : bool
-        Whether it wants no new work.
+        Whether the endpoint accepts no new work.
     reclaimable : bool
-        Whether the platform may take it away on short notice.
+        Whether the platform can reclaim the endpoint on short notice.
     started_ms : StartTime or None
-        When this run of it started, by its own clock; None where it does not say. An
-        endpoint may start again under its id, and knows nothing of before.
+        Start time of this run by the endpoint's own clock, None if not stated. An
+        endpoint can restart under the same id, without any state of its former run.
     leaves_in_s : float or None
-        Seconds until it is gone, where it knows. They run down with every record, and
-        make it no other record.
+        Seconds until the endpoint ends, None if not known. The value is lower in every
+        later record, so records are compared without it.
     """
 
     endpoint: EndpointId
@@ -87,7 +88,7 @@
 
 
 def _route(raw: dict[str, Any]) -> Route:
-    # A route names either one service or weighted "backends".
+    # A route has either one service or a list of weighted "backends".
     shares = tuple(
         ServiceShare(ServiceName(entry["service"]), float(entry.get("weight", 1)))
         for entry in raw.get("backends") or [{"service": raw["service"]}]
@@ -97,7 +98,7 @@
         name=raw["name"],
         host=raw["host"].lower(),
         prefix=raw["pathPrefix"],
-        kind=_KINDS.get(raw.get("routeType", ""), RouteKind.NON_IDEMPOTENT),
+        kind=_ROUTE_KINDS.get(raw.get("routeType", ""), RouteKind.NON_IDEMPOTENT),
         timeout_s=timeout_s,
         target_s=raw.get("targetLatencyMs", 1000 * timeout_s) / 1000,
         priority=int(raw.get("priority", 0)),
@@ -164,17 +165,17 @@
 
 
 def decode_configuration(content: bytes) -> Configuration:
-    """Return the configuration that a record holds.
+    """Decode a record of the configuration.
 
     Raises
     ------
     PlatformRecordMalformed
-        If the record lacks what every configuration has.
+        If a required field is missing, or a value is invalid.
     """
     try:
         raw = orjson.loads(content)
         if type(raw["version"]) is not int:
-            raise TypeError("version is no whole number")
+            raise TypeError("version is not an integer")
         return Configuration.from_parts(
             ConfigurationVersion(raw["version"]),
             tuple(_route(route) for route in raw.get("routes", ())),
@@ -193,7 +194,7 @@
 
 
 class _EndpointModel(BaseModel):
-    """An endpoint's record as its writer has to write it."""
+    """Required format of an endpoint's record."""
 
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
 
@@ -201,9 +202,9 @@
     address: str = Field(pattern=r"^[^:]+:[1-9][0-9]{0,4}$")
     zone: str
     version: str
-    slots: int = Field(ge=1, le=MOST_SLOTS)
+    slots: int = Field(ge=1, le=MAX_SLOTS)
     state: Literal["ready", "draining"]
-    # How much longer the endpoint is slow after its start.
+    # Milliseconds for which the endpoint is still slow after its start.
     cold_ms: float = Field(alias="coldRemainingMs", ge=0, allow_inf_nan=False)
     sequence: int = Field(ge=0)
     preemptible: bool = False
@@ -212,28 +213,31 @@
 
 
 def decode_endpoint(endpoint: EndpointId, content: bytes) -> EndpointRecord:
-    """Return what an endpoint's record says.
+    """Decode an endpoint's record.
 
     Raises
     ------
     PlatformRecordMalformed
-        If the record is not what an endpoint writes, but another writer's.
+        If the record does not have the format that endpoints write.
 
     Notes
     -----
-    Whatever was not stated used to count as the usual: a record without a state named
-    an endpoint ready for work. Callers got failures from whatever was at its address.
+    Missing fields get no defaults. When they did, a record without a state meant an
+    endpoint that is ready for work, and callers got failures from the process at its
+    address.
     """
     try:
         raw = _EndpointModel.model_validate_json(content)
     except ValidationError as error:
         first = error.errors(include_url=False, include_input=False)[0]
-        place = ".".join(map(str, first["loc"])) or "record"
-        why = f"{place}: {first['msg']}"
+        location = ".".join(map(str, first["loc"])) or "record"
+        why = f"{location}: {first['msg']}"
         raise PlatformRecordMalformed(f"endpoint {endpoint}", why) from error
     host, _, port = raw.address.rpartition(":")
-    if int(port) > LAST_PORT:
-        raise PlatformRecordMalformed(f"endpoint {endpoint}", f"address: port {port}")
+    if int(port) > MAX_PORT:
+        raise PlatformRecordMalformed(
+            f"endpoint {endpoint}", f"address: port out of range: {port}"
+        )
     return EndpointRecord(
         endpoint=endpoint,
         service=ServiceName(raw.service),
--- a/poplarrelay/platform/store.py
+++ b/poplarrelay/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store, a log with topics, partitions and groups."""
+"""Client of the platform's store, a log with topics, partitions and consumer groups."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 __all__ = [
     "ANSWER_TIMEOUT_S",
-    "GroupShare",
+    "GroupAssignment",
     "KeyedRecord",
     "LogPage",
     "Producer",
@@ -38,15 +38,15 @@
 
 _LOG = logging.getLogger("poplarrelay.platform.store")
 
-#: Seconds for a new connection to the store: it answers in 4 ms on a calm day, and
-#: a packet lost on the way is sent again after a second.
+#: Timeout in seconds of a new connection to the store. The store normally answers in
+#: 4 ms, and a lost packet is sent again after one second.
 CONNECT_TIMEOUT_S = 1.2
-#: Seconds for an answer beyond the time that a call asked to wait. Slow spells
-#: answer in about a quarter of a second.
+#: Timeout in seconds of an answer, in addition to the time that a call asks the store
+#: to wait. A slow store answers in about a quarter of a second.
 ANSWER_TIMEOUT_S = 1.2
-#: Largest answer: one read returns at most two megabytes of records.
+#: Largest size of an answer in bytes; one read returns at most 2 MB of records.
 MAX_ANSWER_BYTES = 8_000_000
-#: Records asked for in one read.
+#: Largest number of records requested in one read.
 MAX_RECORDS = 1000
 
 _LENGTH = struct.Struct(">I")
@@ -60,9 +60,9 @@
     Attributes
     ----------
     next : Offset
-        Where to read on.
+        Offset at which the next read starts.
     end : Offset
-        One past the partition's last record.
+        Offset after the partition's last record.
     """
 
     records: tuple[bytes, ...]
@@ -72,12 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record with a key; without a value the key has been dropped.
+    """A record with a key; a record without a value deletes the key.
 
     Attributes
     ----------
     offset : Offset
-        Its position in the partition; of two records of a key the later one holds.
+        Position in the partition. Of two records with the same key, the later one is
+        valid.
     """
 
     key: str
@@ -86,15 +87,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupShare:
-    """The partitions of a topic that a member of a group holds.
+class GroupAssignment:
+    """Partitions of a topic that are assigned to a member of a group.
 
     Attributes
     ----------
     generation : int
         Number of the group's last change.
     partitions : frozenset of int
-        What this member holds in it.
+        Partitions that are assigned to this member since that change.
     """
 
     generation: int
@@ -103,14 +104,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Producer:
-    """Who appends, so that a writer that was replaced cannot append any more.
+    """Identity of a writer, so that the store refuses appends of a replaced writer.
 
     Attributes
     ----------
     name : str
-        Name of the role, shared by all who take it in turn.
+        Name of the role, shared by all writers that hold the role one after another.
     epoch : int
-        Rises whenever another takes the role.
+        Number that increases each time another writer gets the role.
     sequence : int
         Number of this append within the epoch, from 0.
     """
@@ -121,18 +122,18 @@
 
 
 class Store:
-    """Calls to the platform's store.
+    """Client of the platform's store.
 
     Parameters
     ----------
     address : tuple of str and int
-        The store's address.
+        Address of the store.
 
     Notes
     -----
-    A call that raises `PlatformUnavailable` without a status may have been carried
-    out, or may be carried out seconds later. Reads and joins are simply repeated;
-    appends name an `Producer`, so that a repetition is recognised.
+    If a call raises `PlatformUnavailable` without a status, the store may have executed
+    it, or may execute it seconds later. Reads and joins can be repeated. Appends carry
+    a `Producer`, so that the store recognises a repeated append.
     """
 
     def __init__(self, address: Address) -> None:
@@ -141,12 +142,12 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls have been made."""
+        """Return the number of calls made so far."""
         return self._calls.total()
 
     @property
     def calls_by_purpose(self) -> dict[str, int]:
-        """Return how many calls have been made, by their name and topic."""
+        """Return the number of calls made so far, by call name and topic."""
         return dict(self._calls)
 
     async def _call(
@@ -176,14 +177,25 @@
         wait_s: float = 0.0,
         answer_s: float = ANSWER_TIMEOUT_S,
     ) -> LogPage:
-        """Read records from an offset on, waiting for the first one.
+        """Read records that start at an offset.
+
+        Parameters
+        ----------
+        topic, partition : str, int
+            Partition to read.
+        start : Offset
+            Offset of the first record.
+        wait_s : float
+            Seconds for which the store waits if there is no record yet.
+        answer_s : float
+            Timeout in seconds of the answer, in addition to the wait.
 
         Raises
         ------
         HistoryTrimmed
-            If they are gone.
+            If the store has deleted the record at the offset.
         PlatformUnavailable
-            If the store does not answer.
+            If the store does not answer, or answers with an error.
         """
         query = {
             "topic": topic,
@@ -197,9 +209,9 @@
         longest_s = wait_s + answer_s
         response = await self._call("read", "GET", target, b"", longest_s, topic)
         if response.status == 410:
-            raise HistoryTrimmed(int(_json(response).get("startOffset", 0)))
+            raise HistoryTrimmed(int(_decode_json(response).get("startOffset", 0)))
         if response.status != 200:
-            raise PlatformUnavailable("read", response.status, _text(response))
+            raise PlatformUnavailable("read", response.status, _body_text(response))
         end, _ = _OFFSETS.unpack_from(response.body)
         records = _split_records(response.body[_OFFSETS.size :])
         return LogPage(records, Offset(start + len(records)), Offset(end))
@@ -207,16 +219,17 @@
     async def newest(
         self, topic: str, answer_s: float = ANSWER_TIMEOUT_S
     ) -> tuple[list[KeyedRecord], Offset]:
-        """Return the newest record of each key, and where to read on.
+        """Return the newest record of each key, and the offset at which to continue.
 
         Notes
         -----
-        Pages are not a snapshot. Reading on from the end as of the first page
-        brings every change made while later pages were read.
+        The pages together are not a snapshot. The returned offset is the end of the
+        partition when the first page was read, so a read from there returns every
+        change made while later pages were read.
         """
-        found: list[KeyedRecord] = []
+        records: list[KeyedRecord] = []
         after: str | None = None
-        resume: int | None = None
+        resume_offset: int | None = None
         while True:
             query: dict[str, Any] = {"topic": topic, "part": 0}
             if after is not None:
@@ -224,16 +237,20 @@
             target = f"/api/log-newest?{urlencode(query)}"
             response = await self._call("newest", "GET", target, b"", answer_s, topic)
             if response.status != 200:
-                raise PlatformUnavailable("newest", response.status, _text(response))
-            page = _json(response)
-            resume = int(page["endOffset"]) if resume is None else resume
+                raise PlatformUnavailable(
+                    "newest", response.status, _body_text(response)
+                )
+            page = _decode_json(response)
+            resume_offset = (
+                int(page["endOffset"]) if resume_offset is None else resume_offset
+            )
             for entry in page["entries"]:
                 after = entry["key"]
-                record = _listed(entry)
+                record = _decode_entry(entry)
                 if record is not None:
-                    found.append(record)
+                    records.append(record)
             if not page.get("hasMore") or not page["entries"]:
-                return found, Offset(resume)
+                return records, Offset(resume_offset)
 
     async def append(
         self,
@@ -242,22 +259,22 @@
         records: list[bytes],
         producer: Producer | None = None,
     ) -> Offset:
-        """Append records, all or none, and return the offset after the last.
+        """Append all records or none, and return the offset after the last record.
 
         Parameters
         ----------
         topic, partition : str, int
-            Where to.
+            Partition to append to.
         records : list of bytes
-            What to append; nothing is appended by an empty list, which only
-            shuts out appenders of lower epochs.
+            Records to append. An empty list only makes the store refuse producers of
+            lower epochs.
         producer : Producer or None
-            Who appends, None where nobody competes.
+            Identity of the writer, None if there are no competing writers.
 
         Raises
         ------
         AppendRefused
-            If a newer appender has taken over.
+            If a producer with a higher epoch has replaced this one.
         """
         query: dict[str, Any] = {"topic": topic, "part": partition}
         if producer is not None:
@@ -268,20 +285,22 @@
         target = f"/api/log-append?{urlencode(query)}"
         response = await self._call("append", "POST", target, body, topic=topic)
         if response.status in (409, 412):
-            raise AppendRefused(str(_json(response).get("reason", response.status)))
+            raise AppendRefused(
+                str(_decode_json(response).get("reason", response.status))
+            )
         if response.status != 200:
-            raise PlatformUnavailable("append", response.status, _text(response))
-        return Offset(int(_json(response).get("endOffset", 0)))
+            raise PlatformUnavailable("append", response.status, _body_text(response))
+        return Offset(int(_decode_json(response).get("endOffset", 0)))
 
     async def put(self, topic: str, key: str, value: bytes) -> None:
-        """Write the newest record of a key; nobody else writes that key."""
+        """Append a new record of a key that only this process writes."""
         name = key.encode()
         await self.append(topic, 0, [bytes((len(name),)) + name + value])
 
     async def join(
         self, group: str, member: str, topic: str, ttl_s: float, generation: int
-    ) -> GroupShare:
-        """Join a group, or stay in it, and return what the member holds."""
+    ) -> GroupAssignment:
+        """Join a group or renew a membership; return the assigned partitions."""
         body = orjson.dumps(
             {
                 "group": group,
@@ -293,23 +312,23 @@
         )
         response = await self._call("join", "POST", "/api/log-join", body)
         if response.status != 200:
-            raise PlatformUnavailable("join", response.status, _text(response))
-        raw = _json(response)
+            raise PlatformUnavailable("join", response.status, _body_text(response))
+        raw = _decode_json(response)
         held = frozenset(int(row[1]) for row in raw["parts"] if row[0] == topic)
-        return GroupShare(int(raw["generation"]), held)
+        return GroupAssignment(int(raw["generation"]), held)
 
     async def leave(self, group: str, member: str) -> None:
-        """Leave a group, so that others take over at once."""
+        """Leave a group, so that its partitions are assigned to others at once."""
         body = orjson.dumps({"group": group, "memberId": member})
         await self._call("leave", "POST", "/api/log-leave", body)
 
     def close(self) -> None:
-        """Drop the kept connections."""
+        """Abort the idle connections."""
         self._client.close()
 
 
 def keyed_topic(name: str) -> str:
-    """Return the name of a topic that keeps the newest record of each key.
+    """Return the full name of a topic that keeps the newest record of each key.
 
     Examples
     --------
@@ -320,17 +339,17 @@
 
 
 def split_keyed(record: bytes, offset: Offset) -> KeyedRecord:
-    """Return the key and the value of a record of a keyed topic.
+    """Split a record of a keyed topic into its key and its value.
 
     Raises
     ------
     PlatformRecordMalformed
-        If there is no whole key in it.
+        If the record does not contain a complete UTF-8 key.
     """
     size = record[0] if record else 0
     name = record[1 : 1 + size]
     if not name or len(name) < size:
-        raise PlatformRecordMalformed(f"record {offset}", "no whole key")
+        raise PlatformRecordMalformed(f"record {offset}", "no complete key")
     try:
         key = name.decode()
     except UnicodeDecodeError as error:
@@ -339,24 +358,24 @@
 
 
 def parse_page(page: LogPage, start: Offset) -> list[KeyedRecord]:
-    """Return the records of a page of a keyed topic that was read from an offset.
+    """Split the records of a page of a keyed topic; the page begins at an offset.
 
     Notes
     -----
-    Records without a readable key belong to nobody and are left out. One of them used
-    to end the process: a stranger's record took every node out of service at once.
+    Records without a readable key are logged and skipped. When such a record raised an
+    error here, a single record from a foreign writer ended the processes of all nodes.
     """
-    found = []
+    records = []
     for offset, record in enumerate(page.records, start):
         try:
-            found.append(split_keyed(record, Offset(offset)))
+            records.append(split_keyed(record, Offset(offset)))
         except PlatformRecordMalformed as error:
             _LOG.error("record unreadable", extra={"why": str(error)})
-    return found
+    return records
 
 
-def _listed(entry: dict[str, Any]) -> KeyedRecord | None:
-    """Return a record of a list of the newest ones, None if it cannot be read."""
+def _decode_entry(entry: dict[str, Any]) -> KeyedRecord | None:
+    """Decode an entry of a list of newest records; return None if it is invalid."""
     try:
         value = base64.b64decode(entry["data"], validate=True)
         return KeyedRecord(entry["key"], value or None, Offset(int(entry["offset"])))
@@ -372,14 +391,14 @@
         (size,) = _LENGTH.unpack_from(content, at)
         at += _LENGTH.size
         if at + size > len(content):
-            # Half a record: it is read again from its offset.
+            # The last record is truncated: the next read starts at its offset.
             break
         records.append(content[at : at + size])
         at += size
     return tuple(records)
 
 
-def _json(response: WholeResponse) -> dict[str, Any]:
+def _decode_json(response: WholeResponse) -> dict[str, Any]:
     try:
         value = orjson.loads(response.body)
     except orjson.JSONDecodeError as error:
@@ -387,5 +406,5 @@
     return value if isinstance(value, dict) else {}
 
 
-def _text(response: WholeResponse) -> str:
+def _body_text(response: WholeResponse) -> str:
     return response.body[:200].decode("utf-8", "replace")
--- a/poplarrelay/testing/request_contexts.py
+++ b/poplarrelay/testing/request_contexts.py
@@ -39,7 +39,7 @@
         target=b"/look/x",
         body=b"",
         has_body=False,
-        passed_headers=[],
+        forwarded_headers=[],
         started_at=now,
     )
     return RequestContext(
