--- a/poplarrelay/entry/http/connection.py
+++ b/poplarrelay/entry/http/connection.py
@@ -107,7 +107,7 @@
             async with asyncio.timeout(timeout_s):
                 _, connection = await loop.create_connection(cls, host, port)
         except (OSError, TimeoutError) as error:
-            raise ExchangeFailed(f"connect: {error!r}", sent=False) from error
+            raise ExchangeFailed(f"cannot connect: {error!r}", sent=False) from error
         return connection
 
     # asyncio's callbacks
--- a/poplarrelay/entry/tests/test_cuts.py
+++ b/poplarrelay/entry/tests/test_cuts.py
@@ -1,4 +1,4 @@
-"""Nodes that cannot hear each other, and a node whose time of day jumps."""
+"""Network partitions between nodes, and a node whose wall clock jumps."""
 
 import asyncio
 import time
@@ -15,9 +15,9 @@
 )
 
 
-def cut(site, *names):
-    """Lose all news between the named nodes and the others; return what heals it."""
-    healed = []
+def partition(site, *names):
+    """Drop gossip between the named nodes and the others; return an undo function."""
+    transports = []
     inside = {site.nodes[name].state.me.host for name in names}
     for node in site.nodes.values():
         transport = node._gossip._transport
@@ -29,61 +29,61 @@
                 send(data, address)
 
         node._gossip._transport = Datagrams(drop)
-        healed.append((node._gossip, transport))
+        transports.append((node._gossip, transport))
 
-    def heal():
-        for gossip, transport in healed:
+    def end_partition():
+        for gossip, transport in transports:
             gossip._transport = transport
 
-    return heal
+    return end_partition
 
 
 class Datagrams:
-    """Stands in for a node's datagram transport while it is cut off."""
+    """Datagram transport of a node during a partition."""
 
     def __init__(self, sendto):
         self.sendto = sendto
 
     def close(self):
-        """Close nothing; the real transport is closed by its node."""
+        """Close nothing; the node closes the real transport."""
 
 
-def jumped(by):
+def shifted_time(by):
     return time.time() + by
 
 
-async def in_force(site, node, version):
+async def wait_for_configuration(site, node, version):
     state = site.nodes[node].state
     await poll_until(lambda: state.me.configuration == version)
 
 
-def test_nodes_that_are_cut_off_serve_and_find_each_other_again():
-    # News between node c and the others is lost. Both sides keep serving, each names
-    # only the nodes that it hears, and a change of the configuration reaches both
-    # from the store. After the cut all are named again.
+def test_partitioned_nodes_serve_and_rejoin():
+    # Gossip between node c and the others is lost. Both sides keep serving, discovery
+    # returns only reachable nodes, and both sides get a new configuration from the
+    # store. After the partition, discovery returns all nodes again.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await site.add_runner("r1", CALLS)
             for name in site.nodes:
                 await site.ready(name, endpoints=1)
             await wait_until_resolved(site, "a", hosts(site, *"abc"))
-            heal = cut(site, "c")
+            end_partition = partition(site, "c")
             await wait_until_resolved(site, "a", hosts(site, *"ab"))
             await wait_until_resolved(site, "c", hosts(site, *"c"))
             site.configure(5)
             for name in site.nodes:
-                await in_force(site, name, 5)
+                await wait_for_configuration(site, name, 5)
                 assert (await site.call("/look/x", node=name)).status == 200
-            heal()
+            end_partition()
             await wait_until_resolved(site, "a", hosts(site, *"abc"))
             await wait_until_resolved(site, "c", hosts(site, *"abc"))
 
     run_scenario(scenario)
 
 
-def test_groups_that_are_cut_off_keep_to_one_quota():
-    # Two nodes cannot hear each other, and a team floods both for three seconds. Each
-    # giving out the whole refill would let through twice the quota.
+def test_partitioned_nodes_together_keep_to_one_quota():
+    # Two nodes are partitioned, and a team floods both for three seconds. If each node
+    # gave out the full refill, twice the quota would pass.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             tenants = [{"name": "alpha", "apiKeys": [KEY], "ratePerS": 20, "burst": 10}]
@@ -91,9 +91,9 @@
             runner = await site.add_runner("r1", CALLS, pause_s=0.001)
             for name in site.nodes:
                 await site.ready(name, endpoints=1)
-                await in_force(site, name, 2)
+                await wait_for_configuration(site, name, 2)
             await wait_until_resolved(site, "a", hosts(site, *"ab"))
-            cut(site, "b")
+            partition(site, "b")
             await wait_until_resolved(site, "a", hosts(site, *"a"))
             await wait_until_resolved(site, "b", hosts(site, *"b"))
             loop = asyncio.get_running_loop()
@@ -110,9 +110,9 @@
     run_scenario(scenario)
 
 
-def test_node_whose_time_of_day_jumps_goes_by_the_others():
-    # The time of day of one of four hosts jumps ahead by four seconds, nearly a
-    # whole window of usage, and back.
+def test_node_whose_wall_clock_jumps_follows_the_other_nodes():
+    # The wall clock of one of four hosts jumps ahead by four seconds, nearly the length
+    # of a usage window, and back. Its node must follow the clocks of the other nodes.
     async def scenario():
         async with run_entry_site(nodes=4) as site:
             for name in site.nodes:
@@ -120,7 +120,7 @@
             await wait_until_resolved(site, "d", hosts(site, *"abcd"))
             clock = site.nodes["d"].state.clock
             for jump in (4.0, -4.0, 0.0):
-                clock._wall = partial(jumped, jump)
+                clock._wall = partial(shifted_time, jump)
                 await poll_until(lambda: abs(clock.now() - time.time()) < 0.5)
                 others = [site.nodes[name].state.clock for name in "abc"]
                 assert all(abs(c.now() - time.time()) < 0.5 for c in others)
--- a/poplarrelay/entry/tests/test_days.py
+++ b/poplarrelay/entry/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Days of our own: each file says only what the page of kinds knows."""
+"""Files of simulated days: they use only kinds and fields that docs/DAYS.md lists."""
 
 import re
 import tomllib
@@ -8,17 +8,17 @@
 
 ROOT = Path(__file__).parents[3]
 DAYS = sorted((ROOT / "deploy" / "days").glob("*.toml"))
-#: Fields that hold numbers, and the largest where there is one.
+#: Fields that hold numbers, with their upper limits (None: no limit).
 NUMBERS = {"at": None, "share": 1.0, "x": None, "for_s": None, "gap_s": None}
 
 
-def known_kinds():
+def documented_kinds():
     page = (ROOT / "docs" / "DAYS.md").read_text()
     rows = re.findall(r"^\| `(\w+)` \| ((?:`\w+`(?:, )?)+) \|$", page, re.MULTILINE)
     return {kind: set(re.findall(r"`(\w+)`", fields)) for kind, fields in rows}
 
 
-def test_the_page_knows_every_day():
+def test_docs_list_every_day():
     page = (ROOT / "docs" / "DAYS.md").read_text()
     assert DAYS
     assert all(f"`{path.stem}`" in page for path in DAYS)
@@ -29,7 +29,7 @@
     day = tomllib.loads(path.read_text())
     assert set(day) == {"name", "plan", "faults"}
     assert day["name"] == path.stem
-    kinds = known_kinds()
+    kinds = documented_kinds()
     for entry in [*day["plan"], *day["faults"]]:
         assert entry["kind"] in kinds
         assert set(entry) - {"at", "kind"} <= kinds[entry["kind"]]
--- a/poplarrelay/entry/tests/test_deploy_files.py
+++ b/poplarrelay/entry/tests/test_deploy_files.py
@@ -1,4 +1,4 @@
-"""The deploy file and the settings template, as the users' platform takes them."""
+"""The deploy file and the settings template that the operator's platform reads."""
 
 import tomllib
 from pathlib import Path
@@ -11,7 +11,7 @@
 from poplarrelay.testing.templates import fill_in
 
 ROOT = Path(__file__).parents[3]
-#: What the platform knows of a process, by its own names.
+#: Values that the platform fills into the template, by the platform's names.
 FIELDS = {
     "nodeName": "edge-north-1",
     "ip": "10.1.0.14",
@@ -56,7 +56,7 @@
     return tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
 
 
-def test_template_makes_valid_settings():
+def test_template_gives_valid_settings():
     settings = EntrySettings.model_validate(orjson.loads(settings_text()))
     assert settings.node == "edge-north-1"
     assert settings.seed_hosts == ("10.1.0.14", "10.2.0.4")
--- a/poplarrelay/entry/tests/test_process.py
+++ b/poplarrelay/entry/tests/test_process.py
@@ -1,4 +1,4 @@
-"""An entry node as a process of its own: signals, settings, exit codes."""
+"""An entry node in a separate process: signals, settings and exit codes."""
 
 import signal
 import subprocess
@@ -20,15 +20,15 @@
 pytestmark = pytest.mark.processes
 
 
-def _configuration(node: EntryProcess) -> int:
-    """Return the version that the node's log names last."""
+def _logged_version(node: EntryProcess) -> int:
+    """Return the newest configuration version in the node's log, 0 without one."""
     lines = [x for x in node.lines() if x["message"] == "configuration in force"]
     return lines[-1]["version"] if lines else 0
 
 
 def test_settings_are_read_again_with_and_without_a_signal(tmp_path):
-    # Operators change the settings file of a node that serves a stream, once with
-    # SIGHUP and once without; a faulty file changes nothing. The stream goes on.
+    # The settings file of a node that serves a stream changes, once with SIGHUP and
+    # once without. An invalid file changes nothing. No change interrupts the stream.
     async def scenario():
         async with run_entry_site(nodes=0) as site:
             await site.add_runner("r1", STREAMS, events=200, pause_s=0.02)
@@ -37,9 +37,9 @@
                 {**r, "timeoutMs": 60_000} for r in entry_configuration()["routes"]
             ]
             site.configure(2, routes=routes)
-            await poll_until(lambda: _configuration(node) == 2)
-            # Its 200 events last four seconds on an idle machine; the wait for them
-            # must not end before they do on a busy one.
+            await poll_until(lambda: _logged_version(node) == 2)
+            # The stream's 200 events take four seconds on an idle machine. The timeouts
+            # are long enough for a busy machine.
             connection = await site.open("/draft/x", X_Poplarrelay_Deadline_Ms="50000")
             await connection.response_head()
             value = orjson.loads(node.path.read_bytes())
@@ -60,7 +60,7 @@
     run_scenario(scenario)
 
 
-def test_stop_signal_ends_a_node_in_order(tmp_path):
+def test_stop_signal_drains_and_ends_a_node(tmp_path):
     async def scenario():
         async with run_entry_site(nodes=0) as site:
             await site.add_runner("r1", CALLS)
@@ -74,7 +74,7 @@
     run_scenario(scenario)
 
 
-def test_each_request_can_be_followed_by_its_id(tmp_path):
+def test_log_lines_of_a_request_carry_its_id(tmp_path):
     async def scenario():
         async with run_entry_site(nodes=0) as site:
             await site.add_runner("r1", CALLS)
@@ -94,11 +94,11 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "told"),
+    ("content", "reason"),
     [(b"{", "line 1"), (b'{"node": "a"}', "listeners"), (None, "No such file")],
     ids=["no JSON", "fields missing", "no file"],
 )
-def test_faulty_settings_end_the_process_with_a_reason(tmp_path, content, told):
+def test_invalid_settings_end_the_process_with_a_reason(tmp_path, content, reason):
     path = tmp_path / "settings.json"
     if content is not None:
         path.write_bytes(content)
@@ -110,5 +110,5 @@
         check=False,
     )
     assert run.returncode == 78
-    assert told in run.stderr
+    assert reason in run.stderr
     assert "Traceback" not in run.stderr
--- a/poplarrelay/entry/tests/test_streams.py
+++ b/poplarrelay/entry/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams through an entry node, in front of stand-ins."""
+"""Streams through an entry node to stand-in endpoints."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_events_are_passed_on_as_they_come():
+def test_events_are_passed_on_as_they_arrive():
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=4, pause_s=0.2)
@@ -32,9 +32,9 @@
     run_scenario(scenario)
 
 
-def test_stream_goes_on_elsewhere_from_its_last_whole_event():
-    # The first endpoint stops in the middle of event 3. The caller sees one stream:
-    # every event once and in order, with the first endpoint's signature.
+def test_stream_continues_elsewhere_after_its_last_complete_event():
+    # The first endpoint stops in the middle of event 3. The caller gets one stream with
+    # every event once and in order, and with the first endpoint's signature.
     async def scenario():
         async with run_entry_site() as site:
             runners = [
@@ -57,9 +57,9 @@
     run_scenario(scenario)
 
 
-def test_stream_that_may_not_resume_is_cut_visibly():
-    # The endpoint stops in the middle of event 3 of a stream that may run only once.
-    # The caller's answer must not look complete, and nobody else may run it.
+def test_broken_stream_that_must_not_resume_looks_incomplete():
+    # The endpoint stops in the middle of event 3 of a stream that must run only once.
+    # The caller's answer must not look complete, and no other endpoint may run it.
     async def scenario():
         async with run_entry_site() as site:
             runners = [
@@ -76,7 +76,7 @@
     run_scenario(scenario)
 
 
-def test_caller_resumes_where_it_says():
+def test_caller_resumes_after_its_last_event_id():
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=5)
@@ -87,10 +87,10 @@
     run_scenario(scenario)
 
 
-def test_silent_stream_goes_on_elsewhere():
-    # An endpoint takes a stream and says nothing. A stream that may run again is
-    # given to another endpoint before the caller loses patience; the first one's
-    # connection is closed, so that it stops.
+def test_silent_stream_continues_at_another_endpoint():
+    # An endpoint accepts a stream and sends nothing. A repeatable stream is sent to
+    # another endpoint before the caller times out. The connection to the first endpoint
+    # is closed, so that the endpoint stops working on the stream.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", STREAMS) for i in (1, 2)]
@@ -100,18 +100,18 @@
             connection = await site.open("/draft/x")
             await poll_until(lambda: any(runner.received for runner in runners))
             hanging = next(runner for runner in runners if runner.received)
-            sound = next(runner for runner in runners if runner is not hanging)
-            sound.faults.clear()
+            healthy = next(runner for runner in runners if runner is not hanging)
+            healthy.faults.clear()
             async with asyncio.timeout(10):
                 response = await connection.whole_response(100_000)
             assert response.status == 200
-            assert len(sound.ran) == 1
+            assert len(healthy.ran) == 1
             await poll_until(lambda: not hanging._writers, "first connection closed")
 
     run_scenario(scenario)
 
 
-def test_endpoint_learns_that_a_streams_caller_left():
+def test_endpoint_connection_closes_when_the_caller_disconnects():
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", STREAMS, events=200, pause_s=0.02)
@@ -125,8 +125,8 @@
 
 
 def test_prompts_with_a_shared_part_go_to_one_endpoint():
-    # Twenty requests share a long prefix. Reading it once is enough if all go where
-    # it is kept.
+    # Twenty requests share a long prefix. It is prefilled only once if all of them go
+    # to the endpoint that has it in its cache.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", STREAMS) for i in (1, 2, 3)]
--- a/poplarrelay/platform/tests/test_endpoint_records.py
+++ b/poplarrelay/platform/tests/test_endpoint_records.py
@@ -1,4 +1,4 @@
-"""Endpoints' records as they are written, and as other writers may write them."""
+"""Decoding of valid records and of malformed records from foreign writers."""
 
 import orjson
 import pytest
@@ -15,7 +15,7 @@
 R1 = EndpointId("r1")
 
 
-def test_whole_record():
+def test_valid_record_is_decoded():
     content = endpoint_record(
         "draining", preemptible=True, leaves_ms=1500, born=1_764_000_000_000, extra=[1]
     )
@@ -63,21 +63,21 @@
     ],
     ids=str,
 )
-def test_record_with_a_fault_names_no_endpoint(changes):
-    # A record without a state once counted as ready: whatever was at its address got
-    # callers' requests.
+def test_record_with_an_invalid_field_is_rejected(changes):
+    # A record without a state was once decoded as a ready endpoint, so the process at
+    # its address got callers' requests.
     with pytest.raises(PlatformRecordMalformed):
         decode_endpoint(R1, endpoint_record(**changes))
 
 
 @given(st.binary(max_size=60))
-def test_bytes_that_are_no_record_name_no_endpoint(content):
+def test_arbitrary_bytes_are_rejected(content):
     with pytest.raises(PlatformRecordMalformed):
         decode_endpoint(R1, content)
 
 
 @given(st.integers(0, 200))
-def test_half_a_record_names_no_endpoint(size):
+def test_truncated_record_is_rejected(size):
     content = endpoint_record()
     if size < len(content):
         with pytest.raises(PlatformRecordMalformed):
@@ -87,23 +87,24 @@
 @pytest.mark.parametrize(
     "record", [b"", b"\x00", b"\x00value", b"\x05r1", b"\x02\xff\xfe{}"], ids=repr
 )
-def test_record_without_a_key_leaves_the_others_of_its_page(record):
-    # One such record raised an error that ended the process, on every node at once.
-    good = b"\x02r1" + endpoint_record()
-    page = LogPage((good, record, good), Offset(13), Offset(13))
+def test_record_without_a_key_is_skipped(record):
+    # A record without a readable key once raised an error that ended the process, on
+    # every node at once.
+    valid = b"\x02r1" + endpoint_record()
+    page = LogPage((valid, record, valid), Offset(13), Offset(13))
     found = parse_page(page, Offset(10))
     assert [(keyed.key, keyed.offset) for keyed in found] == [("r1", 10), ("r1", 12)]
 
 
 @pytest.mark.parametrize("version", ["9", 9.0, True, None, [9]], ids=repr)
-def test_configuration_without_a_whole_version_is_none(version):
+def test_configuration_without_an_integer_version_is_rejected(version):
     content = orjson.dumps({**entry_configuration(9), "version": version})
     with pytest.raises(PlatformRecordMalformed):
         decode_configuration(content)
 
 
 @given(st.integers(0, 3000))
-def test_half_a_configuration_is_none(size):
+def test_truncated_configuration_is_rejected(size):
     content = orjson.dumps(entry_configuration(9))
     if size < len(content):
         with pytest.raises(PlatformRecordMalformed):
--- a/poplarrelay/platform/tests/test_stated_limits.py
+++ b/poplarrelay/platform/tests/test_stated_limits.py
@@ -1,4 +1,4 @@
-"""Parsing of the rate limits that endpoints state in headers."""
+"""Parsing of the rate limits that endpoints send in headers."""
 
 from math import isfinite
 
