--- a/poplarrelay/entry/http/connection.py
+++ b/poplarrelay/entry/http/connection.py
@@ -83,7 +83,7 @@
         )
         self._transport: asyncio.Transport | None = None
         self._events: deque[h11.Event] = deque()
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
         self._failure: str | None = None
         self._closed = False
@@ -158,13 +158,13 @@
                     continue
                 self._events.append(event)
                 if isinstance(event, h11.Data):
-                    self._held_bytes += len(event.data)
+                    self._buffered_bytes += len(event.data)
                 if isinstance(event, h11.EndOfMessage):
                     break
         except h11.RemoteProtocolError as error:
             self._fail(f"invalid HTTP response: {error}")
             return
-        if self._held_bytes > PAUSE_AT_BYTES and not self._reading_paused:
+        if self._buffered_bytes > PAUSE_AT_BYTES and not self._reading_paused:
             self._reading_paused = True
             if self._transport is not None:
                 self._transport.pause_reading()
@@ -193,8 +193,8 @@
                 self._waiter = None
         event = self._events.popleft()
         if isinstance(event, h11.Data):
-            self._held_bytes -= len(event.data)
-            if self._reading_paused and self._held_bytes < PAUSE_AT_BYTES // 2:
+            self._buffered_bytes -= len(event.data)
+            if self._reading_paused and self._buffered_bytes < PAUSE_AT_BYTES // 2:
                 self._reading_paused = False
                 if self._transport is not None and self._failure is None:
                     self._transport.resume_reading()
--- a/poplarrelay/entry/http/listener.py
+++ b/poplarrelay/entry/http/listener.py
@@ -62,23 +62,23 @@
 
     def __init__(self, connection: CallerConnection) -> None:
         self._connection = connection
-        self._on_gone: Callable[[], None] | None = None
+        self._on_disconnect: Callable[[], None] | None = None
         self.begun = False
 
     @property
-    def caller_gone(self) -> bool:
+    def caller_disconnected(self) -> bool:
         """Return whether the caller has closed the connection."""
         return self._connection.closed
 
-    def on_gone(self, callback: Callable[[], None] | None) -> None:
-        """Set a callback for the caller's disconnect; it replaces the cancellation."""
-        self._on_gone = callback
+    def on_disconnect(self, callback: Callable[[], None] | None) -> None:
+        """Call back when the caller disconnects, instead of cancelling the handler."""
+        self._on_disconnect = callback
 
-    def gone(self) -> bool:
+    def notify_disconnect(self) -> bool:
         """Run the callback for the caller's disconnect; return whether one is set."""
-        if self._on_gone is None:
+        if self._on_disconnect is None:
             return False
-        self._on_gone()
+        self._on_disconnect()
         return True
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
@@ -147,7 +147,7 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether no request is being received or answered."""
+        """Return whether no request is being answered and none has begun to arrive."""
         return self._task is None and self._started_at == 0.0
 
     # asyncio's callbacks
@@ -189,7 +189,7 @@
             self._write_resumed.set_result(None)
         if self._task is None or self._exchange is None:
             return
-        if not self._exchange.gone():
+        if not self._exchange.notify_disconnect():
             self._task.cancel()
 
     def pause_writing(self) -> None:
--- a/poplarrelay/entry/process.py
+++ b/poplarrelay/entry/process.py
@@ -424,9 +424,10 @@
 
         Notes
         -----
-        Most rounds use only hosts of this node's cell, which the node needs first: when
-        all nodes start at once, only one in sixteen hosts is in the cell. The other
-        rounds use all hosts, so that groups that were partitioned find each other.
+        Besides the seeds of the settings, most rounds use only hosts of this node's
+        cell. The node needs those first: when all nodes start at once, only one in
+        sixteen hosts is in the cell. The other rounds use all hosts, so that groups
+        that were partitioned find each other.
         """
         hosts = self._directory.hosts
         if self._rng.random() >= ANY_CELL_SHARE:
--- a/poplarrelay/entry/relaying.py
+++ b/poplarrelay/entry/relaying.py
@@ -193,7 +193,7 @@
             # The work cannot be undone, and its answer is due soon. It runs to its end
             # even if the caller leaves: a caller that asks at another node then finds
             # it done.
-            context.exchange.on_gone(lambda: None)
+            context.exchange.on_disconnect(lambda: None)
         try:
             async with asyncio.timeout(max(0.0, context.remaining_s)):
                 return await self._run_attempts(context)
@@ -209,10 +209,10 @@
             choice = await self._acquire_slot(context)
             if isinstance(choice, Refusal):
                 return await self._pass_on_last_error(context, choice)
-            last = (
+            last_attempt = (
                 not context.route.repeatable or sends + 1 >= context.route.max_attempts
             )
-            result = await self._run_attempt(context, choice, last)
+            result = await self._run_attempt(context, choice, last_attempt)
             if not isinstance(result, NotRun) or result.arrived:
                 sends += 1
             if isinstance(result, Streamed):
@@ -292,7 +292,7 @@
         return Refusal(503, RefusalReason.NOT_RUN, wait_s, result.why)
 
     async def _run_attempt(
-        self, context: RequestContext, choice: Choice, last: bool
+        self, context: RequestContext, choice: Choice, last_attempt: bool
     ) -> AttemptResult:
         row = choice.endpoint
         context.tried.append(row.endpoint)
@@ -302,7 +302,7 @@
         plan = AttemptPlan(
             endpoint=row,
             until=context.until,
-            patience_s=None if last else self._silence_timeout(context),
+            patience_s=None if last_attempt else self._silence_timeout(context),
             team=None if context.team is None else context.team.name,
             priority=context.priority if context.streams else None,
             fetch_from=choice.fetch_from,
--- a/poplarrelay/entry/responses.py
+++ b/poplarrelay/entry/responses.py
@@ -84,7 +84,7 @@
         body = orjson.dumps(
             {"title": status.phrase, "status": status, "detail": refusal.reason.value}
         )
-        if not exchange.caller_gone:
+        if not exchange.caller_disconnected:
             await exchange.send(status, headers, body)
         if context is not None:
             self.log_end(context, status, refusal.reason.value, refusal)
--- a/poplarrelay/entry/tests/test_streams.py
+++ b/poplarrelay/entry/tests/test_streams.py
@@ -59,7 +59,7 @@
 
 def test_broken_stream_that_must_not_resume_looks_incomplete():
     # The endpoint stops in the middle of event 3 of a stream that must run only once.
-    # The caller's answer must not look complete, and no other endpoint may run it.
+    # The caller's answer must not look complete, and no other endpoint must run it.
     async def scenario():
         async with run_entry_site() as site:
             runners = [
--- a/poplarrelay/platform/headers.py
+++ b/poplarrelay/platform/headers.py
@@ -87,6 +87,7 @@
 
 
 def _named_by_connection(headers: Headers) -> set[bytes]:
+    """Return the names of headers that ``Connection`` declares as hop-by-hop."""
     named: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -122,6 +123,7 @@
 
 
 def _token_usage(value: bytes | None) -> tuple[int | None, int | None]:
+    """Return the prompt tokens and the largest number of output tokens."""
     if value is None:
         return None, None
     first, _, second = value.partition(b",")
