--- a/poplarrelay/entry/__init__.py
+++ b/poplarrelay/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Entry node: a process that relays callers' requests to a platform's endpoints."""
+"""The entry node: one process in front of a platform's endpoints."""
--- a/poplarrelay/entry/http/__init__.py
+++ b/poplarrelay/entry/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 client connections and listeners on one event loop."""
+"""HTTP/1.1 on one event loop: connections out, listeners in."""
--- a/poplarrelay/platform/__init__.py
+++ b/poplarrelay/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the operator's platform: names on the wire, formats and calls."""
+"""Adapter to the users' platform: names, formats and calls; it decides nothing."""
