--- a/bench/deferred_safeguards.py
+++ b/bench/deferred_safeguards.py
@@ -49,7 +49,7 @@
     _safeguard(
         "a leaving node has requests copied",
         "request_copies.py",
-        "    if world.phase not in _PHASES:\n",
+        "    if world.phase not in _SENDING_PHASES:\n",
         "    if world.phase is not NodePhase.SERVING:\n",
     ),
     _safeguard(
@@ -67,19 +67,19 @@
     _safeguard(
         "the newest copy goes first",
         "takeover.py",
-        "    return mine > (status.copies, node)\n",
+        "    return own > (status.copies, node)\n",
         "    return True\n",
     ),
     _safeguard(
         "an old copy replaces none",
         "takeover.py",
-        "    if held is not None and _replaces(held.request, message.request):\n",
+        "    if held is not None and _supersedes(held.request, message.request):\n",
         "    if False:\n",
     ),
     _safeguard(
         "a home known as an older process is not gone",
         "takeover.py",
-        "        return home.generation > held.generation\n",
+        "        return owner.generation > held.generation\n",
         "        return True\n",
     ),
     _safeguard(
@@ -91,7 +91,7 @@
     _safeguard(
         "both homes come to the same one",
         "takeover.py",
-        "    return first == [world.incarnation] or message.node < world.node\n",
+        "    return first_owner == [world.incarnation] or message.node < world.node\n",
         "    return True\n",
     ),
     _safeguard(
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -89,17 +89,17 @@
     def take(world, request, key, reply, now):
         yield from claiming.claim_key(world, request, world.claims.get(key), now)
 
-    _patch(stack, claiming, "_take_release", take)
+    _patch(stack, claiming, "_handle_release", take)
 
 
 def without_verification(stack: ExitStack) -> None:
     """Say "not run" in an outage without asking the peers."""
-    _patch(stack, claiming, "_verify", claiming._end_verified)
+    _patch(stack, claiming, "_query_all_peers", claiming._end_not_run)
 
 
 def without_catching_up(stack: ExitStack) -> None:
     """Vouch for keys before the claims have been read to their end."""
-    original = claiming._verify
+    original = claiming._query_all_peers
     original_reply = key_ownership.key_reply
 
     def caught_up(world):
@@ -113,7 +113,7 @@
         caught_up(world)
         return original_reply(world, query, now)
 
-    _patch(stack, claiming, "_verify", verify)
+    _patch(stack, claiming, "_query_all_peers", verify)
     _patch(stack, key_ownership, "key_reply", reply)
 
 
@@ -141,7 +141,7 @@
     """Run a ticket at whichever node it comes to."""
 
     def settle(world, request, ticket, forwarded, now):
-        yield from ticketing._hold(world, request, now)
+        yield from ticketing._open_execution(world, request, now)
 
     _patch(stack, key_resolution, "resolve_ticket", settle)
 
@@ -162,15 +162,15 @@
     """Go on running tickets after they were handed over."""
 
     def settle(world, request, ticket, now):
-        yield from ticketing._hold(world, request, now)
+        yield from ticketing._open_execution(world, request, now)
 
-    _patch(stack, ticketing, "_settle_own", settle)
-    _patch(stack, key_resolution, "_leave_alone", leave_alone)
+    _patch(stack, ticketing, "_resolve_own", settle)
+    _patch(stack, key_resolution, "_end_unresolved", leave_alone)
 
 
 def leave_alone(world, request, form, now):
     """Settle a request as if the node were not leaving."""
-    yield from ticketing._hold(world, request, now)
+    yield from ticketing._open_execution(world, request, now)
 
 
 def without_late_forward_check(stack: ExitStack) -> None:
@@ -183,7 +183,7 @@
         )
         yield from ()
 
-    _patch(stack, ticketing, "_hold", hold)
+    _patch(stack, ticketing, "_open_execution", hold)
 
 
 def without_unknown_for_unread_keys(stack: ExitStack) -> None:
@@ -215,7 +215,7 @@
     def repeat(world, request, execution, now):
         yield from ()
 
-    _patch(stack, key_resolution, "_repeat", repeat)
+    _patch(stack, key_resolution, "_resolve_repeated", repeat)
 
 
 REMOVALS: dict[str, Removal] = {
--- a/poplarrelay/systems/claiming.py
+++ b/poplarrelay/systems/claiming.py
@@ -1,17 +1,18 @@
-"""Claim plain idempotency keys on the log.
+"""Claim caller keys on the log.
 
 Notes
 -----
-The first claim in the log wins on every node. A node that reads another's claim
-asks the process that holds it. That process says "released" only if it has sent no
-attempt under the claim, and it never uses the claim again; a new claim then names
-the released one as the one that it replaces.
-
-"Not run" is a statement about the key, not only about this node: a caller who was
-told "not run" books again under another key. So it is made only by the process that
-holds the claim, or when the log is out of reach and every peer has said that it
-knows nothing of the key. Requests under the key that came before the statement are
-bound by it wherever they wait: a release tells its age, and older ones end as well.
+The first claim in the log wins on every node. A node that reads the claim of another
+process sends that process a query. That process replies "released" only if it has sent
+no attempt under the claim, and it never uses the claim again. A new claim then names
+the released claim as the one that it replaces.
+
+The outcome "not run" is a statement about the key, not only about this node: a caller
+that gets it can repeat the work under another key. Only the process that holds the
+claim returns "not run", or, when the log is unreachable, a node to which every peer has
+replied that it does not have the key. Requests with the key that arrived before "not
+run" was returned must not run on any node. The reply "released" therefore contains the
+age of the release, and requests that are older than the release end as well.
 """
 
 from __future__ import annotations
@@ -46,23 +47,23 @@
 __all__ = [
     "fold_claims",
     "follow_claims",
-    "follow_questions",
+    "follow_key_queries",
     "resolve_caller_key",
 ]
 
-#: Seconds between two questions about a key that runs elsewhere.
-ASK_INTERVAL_S = 0.1
-#: Seconds until a caller may come back when the log cannot be reached.
+#: Seconds between two queries about a key that is running at another node.
+QUERY_INTERVAL_S = 0.1
+#: Seconds after which a caller can retry when the log is unreachable.
 LOG_RETRY_S = 1.0
-#: Share of a request's time left that its claim may take, so that the peers can
-#: still be asked if the log does not answer.
+#: Share of a request's remaining time that its claim can take. The rest is left to
+#: query the peers if the log does not answer.
 CLAIM_SHARE = 0.6
-#: Most peers that are asked about one key while the log is out of reach.
-MAX_PEERS_ASKED = 16
+#: Most peers that are queried about one key while the log is unreachable.
+MAX_QUERIED_PEERS = 16
 
 
 def fold_claims(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Fold what was read of the claims stream."""
+    """Fold the records read from the claims stream."""
     position = world.streams[CLAIMS]
     for failure in inbox.of(LogFailed):
         if failure.stream == CLAIMS:
@@ -84,12 +85,12 @@
 
 
 def _skip_trimmed(world: World, batch: RecordsRead) -> Iterator[Effect]:
-    """Go on after records that the log has trimmed.
+    """Continue after records that the log has trimmed.
 
     Notes
     -----
-    The log must keep claims for at least the key memory (see the operators'
-    page); then a trimmed claim is one whose key has been forgotten anyway.
+    The log must keep claims for at least `key_memory_s` (see the operators' page).
+    Nodes have then already forgotten the key of every trimmed claim.
     """
     position = world.streams[CLAIMS]
     yield LogDecision(
@@ -107,80 +108,80 @@
     current = world.claims.get(key)
     if claim.after != (None if current is None else current.offset):
         return
-    # The time of the append by the log's clock is not used: were that clock set
-    # forward, claims would be forgotten early, and a key could run again.
+    # The append time by the log's clock is not used. If that clock was set forward,
+    # nodes would forget claims too early, and a key could run twice.
     world.claims[key] = Claim.from_record(record.offset, claim, now)
 
 
 def resolve_caller_key(
-    world: World, request: Request, form: CallerKey, now: float
+    world: World, request: Request, caller_key: CallerKey, now: float
 ) -> Iterator[Effect]:
-    """Start to settle who may run a plain key that has no live use here.
+    """Find out which node can run a caller key that this process does not run.
 
     Raises
     ------
     KeyReused
-        If the key was claimed for other work.
+        If the key is claimed for other work.
     """
-    key = TeamKey(request.team, form.key)
+    key = TeamKey(request.team, caller_key.key)
     claim = world.claims.get(key)
     if claim is None:
-        if _too_old(world, form, now):
-            yield from _expired(world, request, now)
+        if _may_be_forgotten(world, caller_key, now):
+            yield from _end_expired(world, request, now)
         else:
             yield from claim_key(world, request, None, now)
         return
     if claim.fingerprint != request.work.fingerprint:
         raise KeyReused("the key came before with other work")
     if claim.incarnation != world.incarnation:
-        yield from _ask(world, request, claim, now)
+        yield from _query_holder(world, request, claim, now)
     elif key in world.key_executions:
         yield from claim_key(world, request, claim, now)
     else:
-        yield from _expired(world, request, now)
+        yield from _end_expired(world, request, now)
 
 
-def _expired(world: World, request: Request, now: float) -> Iterator[Effect]:
+def _end_expired(world: World, request: Request, now: float) -> Iterator[Effect]:
     outcome = Unknown(UnknownReason.KEY_EXPIRED)
     yield from conclude(world, request, outcome, now)
 
 
-def _too_old(world: World, form: CallerKey, now: float) -> bool:
-    """Return whether claims as old as the key may have been forgotten.
+def _may_be_forgotten(world: World, caller_key: CallerKey, now: float) -> bool:
+    """Return whether nodes may have forgotten claims as old as the key.
 
-    The log's clock decides, since a host's clock may be set back and would make
-    an old key look new.
+    The age is taken by the log's clock. A host's clock can be set back, and then an
+    old key would look new.
     """
-    born = caller_key_time(form.key)
-    if born is None or world.log_clock is None:
+    created_at = caller_key_time(caller_key.key)
+    if created_at is None or world.log_clock is None:
         return False
-    return now + world.log_clock - born > world.settings.limits.key_memory_s
+    return now + world.log_clock - created_at > world.settings.limits.key_memory_s
 
 
 def claim_key(
     world: World, request: Request, claim: Claim | None, now: float
 ) -> Iterator[Effect]:
-    """Send a claim to the log, unless the log is known to be out of reach.
+    """Send a claim to the log, or query all peers if the log is unavailable.
 
     Parameters
     ----------
     claim : Claim or None
-        The released claim to replace.
+        The released claim to replace, None if there is none.
     """
     key = world.team_key(request)
     assert key is not None
     record = world.new_record_id()
-    after = None if claim is None else claim.offset
+    replaced = None if claim is None else claim.offset
     world.key_executions[key] = KeyExecution(
         KeyState.OPEN,
         request.id,
         request.work.fingerprint,
         changed_at=now,
-        after=after,
+        replaced_claim=replaced,
         record=record,
     )
     if not world.streams[CLAIMS].available or world.handover is not None:
-        yield from _verify(world, request, now)
+        yield from _query_all_peers(world, request, now)
         return
     request.state = RequestState.CLAIMING
     timeout = world.settings.timing.claim_wait_s
@@ -194,13 +195,13 @@
         node=world.node,
         incarnation=world.incarnation,
         fingerprint=request.work.fingerprint,
-        after=after,
+        after=replaced,
     )
     yield AppendRecord(CLAIMS, value, request.claim_until)
 
 
 def follow_claims(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Look whether claims on the way have won, lost or taken too long."""
+    """Check whether claims in flight have won, have lost or have timed out."""
     for request_id in sorted(world.claiming):
         request = world.requests.get(request_id)
         if request is None or request.state is not RequestState.CLAIMING:
@@ -216,11 +217,11 @@
     claim = world.claims.get(key)
     if claim is not None and claim.record == execution.record:
         yield from _claim_won(world, request, execution, claim, now)
-    elif claim is not None and claim.offset != execution.after:
+    elif claim is not None and claim.offset != execution.replaced_claim:
         yield from _claim_lost(world, request, key, claim, now)
     elif now >= request.claim_until or not world.streams[CLAIMS].available:
         world.claiming.discard(request.id)
-        yield from _verify(world, request, now)
+        yield from _query_all_peers(world, request, now)
 
 
 def _claim_won(
@@ -244,8 +245,8 @@
         (("request", request.id), ("won", False), ("winner", claim.node)),
     )
     if claim.incarnation == world.incarnation:
-        # An earlier record of this process came into force late, after its
-        # request had been given up. That claim is not used; a new one follows.
+        # An earlier claim of this process came into force after its request had
+        # ended. That claim is not used; a new claim replaces it.
         yield from claim_key(world, request, claim, now)
         return
     del world.key_executions[key]
@@ -253,7 +254,7 @@
         outcome = Unknown(UnknownReason.KEY_EXPIRED)
         yield from conclude(world, request, outcome, now)
         return
-    yield from _ask(world, request, claim, now)
+    yield from _query_holder(world, request, claim, now)
 
 
 def _key_query(request: Request, incarnation: str, claim: int | None) -> KeyQuery:
@@ -267,116 +268,118 @@
     )
 
 
-def _ask(world: World, request: Request, claim: Claim, now: float) -> Iterator[Effect]:
-    """Ask the process that answers for a claim, which may be this one."""
+def _query_holder(
+    world: World, request: Request, claim: Claim, now: float
+) -> Iterator[Effect]:
+    """Query the process that answers for a claim, which can be this process."""
     request.state = RequestState.ASKING
     query = _key_query(request, claim.incarnation, claim.offset)
     if claim.incarnation in world.inherited_incarnations:
-        yield from _take_answer(world, request, key_reply(world, query, now), now)
+        yield from _handle_reply(world, request, key_reply(world, query, now), now)
         return
     owner = owner_of(world, claim.node, claim.incarnation)
     if owner is None:
-        yield from _unreachable(world, request, now)
+        yield from _end_unreachable(world, request, now)
     else:
         yield QueryKey(request.id, owner.peers, query)
 
 
-def _unreachable(world: World, request: Request, now: float) -> Iterator[Effect]:
+def _end_unreachable(world: World, request: Request, now: float) -> Iterator[Effect]:
     outcome = Unknown(UnknownReason.HOME_UNREACHABLE, LOG_RETRY_S)
     yield from conclude(world, request, outcome, now)
 
 
-def _verify(world: World, request: Request, now: float) -> Iterator[Effect]:
-    """Ask all peers about a key that cannot be claimed.
+def _query_all_peers(world: World, request: Request, now: float) -> Iterator[Effect]:
+    """Query all peers about a key that cannot be claimed.
 
     Notes
     -----
-    Without the log this node cannot know whether another has run the key. If one
-    peer does not answer, that peer may have run it, and the answer is "unknown".
-    A process that has not read the claims to their end since its start cannot
-    vouch for its own predecessor either, so neither this node nor a peer in that
-    state says that it knows nothing of a key.
+    Without the log this node cannot tell whether another node has run the key. If one
+    peer does not reply, that peer may have run it, and the outcome is "unknown". A
+    process that has not read the claims to their end since its start has no state of
+    its predecessor's keys either. In that state a peer does not reply "absent", and
+    this node does not return "not run".
     """
-    peers = [m for m in world.members.values() if not _vouched_for(m)]
+    peers = [m for m in world.members.values() if not _has_successor(m)]
     request.state = RequestState.VERIFYING
     alone = not peers and bool(world.settings.seeds)
-    if alone or len(peers) > MAX_PEERS_ASKED or not world.streams[CLAIMS].caught_up:
-        yield from _end_unverified(world, request, now)
+    if alone or len(peers) > MAX_QUERIED_PEERS or not world.streams[CLAIMS].caught_up:
+        yield from _end_unknown(world, request, now)
         return
     if not peers:
-        yield from _end_verified(world, request, now)
+        yield from _end_not_run(world, request, now)
         return
     addresses = tuple(member.peers for member in peers)
     yield QueryAllPeers(request.id, addresses, _key_query(request, "", None))
 
 
-def _vouched_for(member: Member) -> bool:
-    """Return whether a node that left has a successor that knows its keys."""
+def _has_successor(member: Member) -> bool:
+    """Return whether a node has left and its successor has its keys."""
     return member.status is MemberStatus.LEFT and member.successor is not None
 
 
-def _end_verified(world: World, request: Request, now: float) -> Iterator[Effect]:
+def _end_not_run(world: World, request: Request, now: float) -> Iterator[Effect]:
     outcome = NotRun(NotRunReason.LOG_UNAVAILABLE, LOG_RETRY_S)
     yield from conclude(world, request, outcome, now)
 
 
-def _end_unverified(world: World, request: Request, now: float) -> Iterator[Effect]:
+def _end_unknown(world: World, request: Request, now: float) -> Iterator[Effect]:
     outcome = Unknown(UnknownReason.LOG_UNAVAILABLE, LOG_RETRY_S)
     yield from conclude(world, request, outcome, now)
 
 
-def follow_questions(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Take the answers of peers, and ask again about keys that still run."""
-    for verified in inbox.of(AllPeersAnswered):
-        request = world.requests.get(verified.request)
+def follow_key_queries(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+    """Handle replies about keys, and repeat queries about keys that still run."""
+    for peers_answered in inbox.of(AllPeersAnswered):
+        request = world.requests.get(peers_answered.request)
         if request is not None and request.state is RequestState.VERIFYING:
-            end = _end_verified if verified.absent else _end_unverified
+            end = _end_not_run if peers_answered.absent else _end_unknown
             yield from end(world, request, now)
     for answered in inbox.of(KeyAnswered):
         request = world.requests.get(answered.request)
         if request is not None and request.state is RequestState.ASKING:
-            yield from _take_answer(world, request, answered.reply, now)
-    for request_id, at in list(world.ask_again.items()):
+            yield from _handle_reply(world, request, answered.reply, now)
+    for request_id, at in list(world.next_query_at.items()):
         if now >= at:
-            del world.ask_again[request_id]
+            del world.next_query_at[request_id]
             request = world.requests.get(request_id)
             if request is not None and request.state is RequestState.ASKING:
-                yield from _ask_again(world, request, now)
+                yield from _repeat_query(world, request, now)
 
 
-def _ask_again(world: World, request: Request, now: float) -> Iterator[Effect]:
+def _repeat_query(world: World, request: Request, now: float) -> Iterator[Effect]:
     key = world.team_key(request)
     claim = None if key is None else world.claims.get(key)
     if claim is None:
-        yield from _unreachable(world, request, now)
+        yield from _end_unreachable(world, request, now)
     else:
-        yield from _ask(world, request, claim, now)
+        yield from _query_holder(world, request, claim, now)
 
 
-def _take_answer(
+def _handle_reply(
     world: World, request: Request, reply: KeyReply | None, now: float
 ) -> Iterator[Effect]:
     key = world.team_key(request)
     if reply is None or key is None or reply.state in ("broken", "absent"):
-        yield from _unreachable(world, request, now)
+        yield from _end_unreachable(world, request, now)
     elif reply.state == "finished" and reply.outcome is not None:
         yield from conclude(world, request, decode_outcome(reply.outcome), now)
     elif reply.state == "released":
-        yield from _take_release(world, request, key, reply, now)
+        yield from _handle_release(world, request, key, reply, now)
     elif reply.state == "mismatch":
         outcome = Unknown(UnknownReason.KEY_EXPIRED)
         yield from conclude(world, request, outcome, now)
     else:
-        world.ask_again[request.id] = now + ASK_INTERVAL_S
+        world.next_query_at[request.id] = now + QUERY_INTERVAL_S
 
 
-def _take_release(
+def _handle_release(
     world: World, request: Request, key: TeamKey, reply: KeyReply, now: float
 ) -> Iterator[Effect]:
     if now - request.arrived >= reply.released_ago_s:
-        # Somebody was told "not run" after this request had come. Running it now
-        # would make that a lie.
-        outcome = NotRun(NotRunReason.REFUSED, ASK_INTERVAL_S)
+        # Another caller got "not run" for the key after this request had arrived.
+        # Running the request now would make that outcome false.
+        outcome = NotRun(NotRunReason.REFUSED, QUERY_INTERVAL_S)
         yield from conclude(world, request, outcome, now)
         return
     yield from claim_key(world, request, world.claims.get(key), now)
--- a/poplarrelay/systems/concluding.py
+++ b/poplarrelay/systems/concluding.py
@@ -1,4 +1,4 @@
-"""End requests: give the outcome to the caller and to whoever waits for it."""
+"""End requests: return the outcome to the caller and to requests that joined."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def outcome_tag(outcome: Outcome) -> str:
-    """Return the outcome's name in logs, metrics and answers."""
+    """Return the name of an outcome in logs, metrics and answers."""
     if isinstance(outcome, Answered):
         return "answered"
     if isinstance(outcome, NotRun):
@@ -44,7 +44,7 @@
 
 
 def release_endpoint(world: World, request: Request, now: float) -> None:
-    """Take a request off the books of the endpoint that runs it."""
+    """Remove a request from the load of the endpoint that runs it."""
     if request.attempt is None:
         return
     endpoint = world.endpoints.get(request.attempt.endpoint)
@@ -55,37 +55,37 @@
 
 
 def requeue(world: World, request: Request) -> None:
-    """Put a request that may run into the queue."""
+    """Add a request that can run to the queue."""
     request.state = RequestState.QUEUED
     world.queue.append(request.id)
     world.team_usage(request.team).queued += 1
 
 
 def leave_queue(world: World, request: Request) -> None:
-    """Take a request out of the queue, if it waits there."""
+    """Remove a request from the queue, if it is queued."""
     if request.id in world.queue:
         world.queue.remove(request.id)
         world.team_usage(request.team).queued -= 1
 
 
 def remove_request(world: World, request: Request, now: float) -> None:
-    """Take a request that goes on at another node off this node's tables."""
+    """Remove a request that continues at another node from this node's tables."""
     leave_queue(world, request)
     release_endpoint(world, request, now)
     key = world.team_key(request)
     execution = None if key is None else world.key_executions.get(key)
     if key is not None and execution is not None and execution.request == request.id:
-        settled = execution.state in (KeyState.FINISHED, KeyState.BROKEN)
-        if not settled:
+        resolved = execution.state in (KeyState.FINISHED, KeyState.BROKEN)
+        if not resolved:
             del world.key_executions[key]
     del world.requests[request.id]
 
 
-def _settle_key(execution: KeyExecution, outcome: Outcome, now: float) -> None:
-    """Note what became of a key.
+def _update_key(execution: KeyExecution, outcome: Outcome, now: float) -> None:
+    """Set the state of a key by the outcome of its request.
 
-    A key under which nothing was sent is released whatever its caller was told:
-    this process has not run it, so a later request may settle it anew.
+    A key is released, for any outcome, if no attempt was sent under it. This process
+    has then not run the key, and a later request can claim or run it.
     """
     unsent = execution.state is KeyState.OPEN
     execution.changed_at = now
@@ -98,7 +98,7 @@
         execution.state = KeyState.BROKEN
 
 
-def _record(request: Request, outcome: Outcome, now: float) -> Iterator[Effect]:
+def _report_end(request: Request, outcome: Outcome, now: float) -> Iterator[Effect]:
     tag = outcome_tag(outcome)
     request_class = request.request_class.value
     labels = (("class", request_class), ("outcome", tag), ("team", request.team))
@@ -132,10 +132,10 @@
     world : World
         The tables.
     request : Request
-        A request without outcome; one that has ended is left as it is.
+        The request to end; nothing happens if it has ended already.
     outcome : Outcome
-        What it came to. An `Answered` outcome is final, and the caller gets it
-        at once: an answer is never held back.
+        Outcome of the request. An `Answered` outcome is final, and the caller gets it
+        at once.
     now : float
         Monotonic time.
     """
@@ -147,28 +147,29 @@
     request.state = RequestState.ENDED
     request.outcome = outcome
     request.ended_at = now
-    yield from _record(request, outcome, now)
+    yield from _report_end(request, outcome, now)
     fetched = _is_fetched(world, request, outcome)
     yield EndRequest(request.id, outcome, deferred=fetched)
     key = world.team_key(request)
     execution = None if key is None or was_joined else world.key_executions.get(key)
     if execution is not None and execution.request == request.id:
-        _settle_key(execution, outcome, now)
-    for waiting in world.duplicates.pop(request.id, ()):
-        follower = world.requests.get(waiting)
-        if follower is not None:
-            yield from conclude(world, follower, outcome, now)
+        _update_key(execution, outcome, now)
+    for duplicate_id in world.duplicates.pop(request.id, ()):
+        duplicate = world.requests.get(duplicate_id)
+        if duplicate is not None:
+            yield from conclude(world, duplicate, outcome, now)
     if not fetched:
         world.requests.pop(request.id, None)
 
 
 def _is_fetched(world: World, request: Request, outcome: Outcome) -> bool:
-    """Return whether the caller gets the outcome by the request's id.
+    """Return whether the caller fetches the outcome by the request's id.
 
     Notes
     -----
-    A deferred request that is given up before any peer has heard of it is refused at
-    once. Afterwards a peer could run what its caller was told had not run.
+    A deferred request that ends without an answer is rejected at once only if no copy
+    has been sent to a peer. Otherwise a peer could run the request after its caller
+    got "not run".
     """
     if not request.deferred:
         return False
--- a/poplarrelay/systems/expiring.py
+++ b/poplarrelay/systems/expiring.py
@@ -1,4 +1,4 @@
-"""End requests whose deadline has passed and forget what is no longer needed."""
+"""End requests whose deadline has passed, and remove expired rows."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 __all__ = ["expire_requests", "forget_old_rows"]
 
-#: Seconds after its deadline until a running attempt is given up by the tables;
-#: the thread that runs it ends it at the deadline itself.
+#: Seconds after the deadline until a request with a running attempt is ended here.
+#: The thread that runs the attempt ends it at the deadline itself.
 ATTEMPT_GRACE_S = 1.0
 #: Seconds between two sweeps of old rows.
 SWEEP_INTERVAL_S = 5.0
-#: States in which nothing has been sent under the request.
+#: States in which nothing has been sent for the request.
 _UNSENT = (RequestState.RECEIVED, RequestState.QUEUED)
 
 
@@ -35,8 +35,8 @@
 
     Notes
     -----
-    A request that still waits for its claim, or for another node's word, cannot
-    say "not run" for its key, which that node may have run.
+    A request that still waits for its claim or for another node's reply does not end
+    as "not run", because another node may have run its key.
     """
     if request.started or request.state not in _UNSENT:
         return Unknown(UnknownReason.DEADLINE)
@@ -44,7 +44,7 @@
 
 
 def expire_requests(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """End requests at their deadline, at once and not later."""
+    """End the requests whose deadline has passed."""
     for request in world.open_requests():
         limit = request.deadline
         if request.state is RequestState.DISPATCHED:
@@ -58,29 +58,29 @@
 
 
 def forget_old_rows(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Forget keys, claims and kept answers that are older than the key memory."""
+    """Remove keys, claims and stored answers that are older than the key memory."""
     if now < world.next_sweep_at:
         return
     world.next_sweep_at = now + SWEEP_INTERVAL_S
-    memory = world.settings.limits.key_memory_s
-    tickets = (
+    key_memory_s = world.settings.limits.key_memory_s
+    ticket_memory_s = (
         world.settings.limits.ticket_epochs + 2
     ) * world.settings.timing.ticket_epoch_s
-    kept = max(memory, tickets)
-    settled = (KeyState.FINISHED, KeyState.BROKEN, KeyState.RELEASED)
+    retention_s = max(key_memory_s, ticket_memory_s)
+    final_states = (KeyState.FINISHED, KeyState.BROKEN, KeyState.RELEASED)
     for key, execution in list(world.key_executions.items()):
-        if execution.state in settled and now - execution.changed_at > kept:
+        if execution.state in final_states and now - execution.changed_at > retention_s:
             del world.key_executions[key]
     for key, claim in list(world.claims.items()):
-        if now - claim.read_at > kept and key not in world.key_executions:
+        if now - claim.read_at > retention_s and key not in world.key_executions:
             del world.claims[key]
     for request in list(world.requests.values()):
-        if request.ended_at is not None and now - request.ended_at > memory:
+        if request.ended_at is not None and now - request.ended_at > key_memory_s:
             del world.requests[request.id]
     for incarnation, at in list(world.inherited_incarnations.items()):
-        if now - at > kept:
+        if now - at > retention_s:
             del world.inherited_incarnations[incarnation]
-    _measure_kept(world)
+    _measure_stored_answers(world)
     yield from ()
 
 
@@ -91,8 +91,8 @@
     return body + sum(len(token) for token in outcome.tokens)
 
 
-def _measure_kept(world: World) -> None:
-    """Note how much is kept for callers that may come back."""
+def _measure_stored_answers(world: World) -> None:
+    """Update the number and size of the answers stored for callers that retry."""
     deferred = [r for r in world.requests.values() if r.ended_at is not None]
     outcomes = [execution.outcome for execution in world.key_executions.values()]
     outcomes += [request.outcome for request in deferred]
--- a/poplarrelay/systems/key_ownership.py
+++ b/poplarrelay/systems/key_ownership.py
@@ -1,4 +1,4 @@
-"""Find the process that answers for an incarnation, and answer for this one."""
+"""Find the owner of an incarnation's keys, and answer queries about keys."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 
 
 def owner_of(world: World, node: NodeId, incarnation: Incarnation) -> Member | None:
-    """Return the member that answers for an incarnation, None if there is none.
+    """Return the node that answers for the keys of an incarnation, or None.
 
     Notes
     -----
-    A node that left in order names its successor. One that was declared dead may
-    only be frozen or cut off, so it is still asked as long as its row has the
-    same incarnation; a restarted process knows nothing of its predecessor.
+    The row of a node that left in order names its successor. A node that was declared
+    dead may only be paused or partitioned. It still counts as the owner as long as
+    its row has the same incarnation; a restarted process has no state of its
+    predecessor.
     """
     member = world.members.get(node)
     if member is None or member.incarnation != incarnation:
@@ -37,19 +38,19 @@
 
 
 def answer_key_queries(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Tell peers what became of keys."""
-    for asked in inbox.of(KeyQueried):
-        yield Reply(asked.call, key_reply(world, asked.query, now))
+    """Reply to peers' queries about keys."""
+    for queried in inbox.of(KeyQueried):
+        yield Reply(queried.call, key_reply(world, queried.query, now))
 
 
 def key_reply(world: World, query: KeyQuery, now: float) -> KeyReply:
-    """Return what became of a key, as far as this process answers for it."""
+    """Return the reply of this process to a query about a key."""
     key = TeamKey.of(query.team, query.key)
     execution = world.key_executions.get(key)
     if not query.incarnation:
         in_use = execution is not None and execution.state is not KeyState.RELEASED
-        unsure = not world.streams[CLAIMS].caught_up
-        known = in_use or unsure or key in world.claims
+        incomplete = not world.streams[CLAIMS].caught_up
+        known = in_use or incomplete or key in world.claims
         return KeyReply(state="running" if known else "absent")
     answers_for = Incarnation(query.incarnation)
     if (
@@ -71,24 +72,26 @@
         return KeyReply(state="finished", outcome=encode_outcome(execution.outcome))
     if execution.state is KeyState.BROKEN:
         return KeyReply(state="broken")
-    if execution.state is KeyState.RELEASED or _gave_up(world, key, execution, query):
-        ago = (
+    if execution.state is KeyState.RELEASED or _claims_again(
+        world, key, execution, query
+    ):
+        released_ago = (
             now - execution.changed_at if execution.state is KeyState.RELEASED else 0.0
         )
-        return KeyReply(state="released", released_ago_s=ago)
+        return KeyReply(state="released", released_ago_s=released_ago)
     return KeyReply(state="running")
 
 
-def _gave_up(
+def _claims_again(
     world: World, key: TeamKey, execution: KeyExecution, query: KeyQuery
 ) -> bool:
-    """Return whether a key in use here is being claimed anew.
+    """Return whether this process has released a claim and claims the key again.
 
     Notes
     -----
-    The asker names the claim that it has read. If this process claims anew after
-    that claim, it gave that claim up before, so both race for the next one in the
-    log, and the log's order decides.
+    The query names the claim that the sender has read. If this process has sent a new
+    claim after that one, it has released that claim before. Both processes can then
+    claim the key, and the order of the log decides.
     """
     if execution.claim is not None or query.claim is None:
         return False
--- a/poplarrelay/systems/key_resolution.py
+++ b/poplarrelay/systems/key_resolution.py
@@ -1,4 +1,4 @@
-"""Settle who may run a request that has just arrived."""
+"""Decide which node can run a request that has just arrived, by its key."""
 
 from __future__ import annotations
 
@@ -18,81 +18,81 @@
 
 __all__ = ["resolve_key"]
 
-#: Seconds until a caller may ask again at another node.
-ELSEWHERE_RETRY_S = 0.2
+#: Seconds after which a caller can retry at another node.
+OTHER_NODE_RETRY_S = 0.2
 
 
 def resolve_key(
     world: World, request: Request, forwarded: bool, now: float
 ) -> Iterator[Effect]:
-    """Decide who may run a request.
+    """Decide which node can run a request, and end or forward it accordingly.
 
     Parameters
     ----------
     world : World
         The tables.
     request : Request
-        A request of `world`. Its state stays RECEIVED if it may run at once.
+        A request of `world`. Its state stays RECEIVED if it can run at once.
     forwarded : bool
-        Whether a peer sent it on, so that it must not be sent on again.
+        Whether a peer forwarded the request; it must not be forwarded twice.
     now : float
         Monotonic time.
 
     Raises
     ------
     MalformedKey
-        If the key has an unknown form.
+        If the key is neither a caller key nor a ticket.
     KeyReused
-        If the key came before with other work.
+        If the key was used before for other work.
     """
     if request.key is None:
         return
-    form = read_key(request.key)
-    if not _known(world, request):
+    parsed = read_key(request.key)
+    if not _has_execution(world, request):
         if now >= world.refuse_from:
             reasons = NotRunReason.NODE_LEAVING, UnknownReason.NODE_LEAVING
-            yield from _leave_alone(world, request, form, reasons, now)
+            yield from _end_unresolved(world, request, parsed, reasons, now)
             return
         if answer_store_full(world):
             reasons = NotRunReason.QUEUE_FULL, UnknownReason.QUEUE_FULL
-            yield from _leave_alone(world, request, form, reasons, now)
+            yield from _end_unresolved(world, request, parsed, reasons, now)
             return
     execution = world.key_executions.get(TeamKey(request.team, request.key))
     if execution is not None and execution.state is not KeyState.RELEASED:
-        yield from _repeat(world, request, execution, now)
-    elif isinstance(form, Ticket):
-        yield from resolve_ticket(world, request, form, forwarded, now)
+        yield from _resolve_repeated(world, request, execution, now)
+    elif isinstance(parsed, Ticket):
+        yield from resolve_ticket(world, request, parsed, forwarded, now)
     else:
-        yield from resolve_caller_key(world, request, form, now)
+        yield from resolve_caller_key(world, request, parsed, now)
 
 
-def _known(world: World, request: Request) -> bool:
+def _has_execution(world: World, request: Request) -> bool:
     key = world.team_key(request)
     return key is not None and key in world.key_executions
 
 
-def _leave_alone(
+def _end_unresolved(
     world: World,
     request: Request,
-    form: CallerKey | Ticket,
+    parsed: CallerKey | Ticket,
     reasons: tuple[NotRunReason, UnknownReason],
     now: float,
 ) -> Iterator[Effect]:
-    """End a request with a key that this node does not look into.
+    """End a request whose key this node does not resolve.
 
-    The node's own tickets are certain not to have run, until it has handed over
-    the right to run them.
+    The outcome is "not run" for a ticket of this process, as long as the process has
+    not handed over the right to run its tickets. Any other key may have run.
     """
-    own = isinstance(form, Ticket) and form.incarnation == world.incarnation
+    own = isinstance(parsed, Ticket) and parsed.incarnation == world.incarnation
     if own and world.handover is None:
-        outcome = NotRun(reasons[0], ELSEWHERE_RETRY_S)
+        outcome = NotRun(reasons[0], OTHER_NODE_RETRY_S)
         yield from conclude(world, request, outcome, now)
     else:
-        unknown = Unknown(reasons[1], ELSEWHERE_RETRY_S)
+        unknown = Unknown(reasons[1], OTHER_NODE_RETRY_S)
         yield from conclude(world, request, unknown, now)
 
 
-def _repeat(
+def _resolve_repeated(
     world: World, request: Request, execution: KeyExecution, now: float
 ) -> Iterator[Effect]:
     if execution.fingerprint != request.work.fingerprint:
--- a/poplarrelay/systems/keys.py
+++ b/poplarrelay/systems/keys.py
@@ -1,12 +1,12 @@
-"""Forms of idempotency keys: plain keys and tickets.
+"""Forms of idempotency keys: caller keys and tickets.
 
 Notes
 -----
-A plain key is any text that the caller chose; it is claimed on the log. A ticket is
-a prefix that the system issued together with an address, and a part that the caller
-added: ``t1.NODE.INCARNATION.EPOCH.NONCE``. It names the only process that may run
-it, so it needs no record. The epoch is counted by that process's own monotonic
-clock, so no two clocks are ever compared.
+A caller key is any text that the caller chose; it is claimed by a log record. A ticket
+consists of a prefix that the system issued together with an address, and a part that
+the caller added: ``t1.NODE.INCARNATION.EPOCH.NONCE``. It names the only process that
+can run it, and therefore needs no record. That process counts the epoch by its own
+monotonic clock, so clocks of two hosts are never compared.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     "ticket_prefix",
 ]
 
-TICKET_MARK = "t1."
+TICKET_START = "t1."
 _TICKET = re.compile(
     r"^t1\.(?P<node>[A-Za-z0-9_-]{1,63})\.(?P<incarnation>[0-9a-f]{8,32})"
     r"\.(?P<epoch>[0-9]{1,9})\.(?P<nonce>[A-Za-z0-9_-]{1,64})$"
 )
-_PLAIN = re.compile(r"^[\x21-\x7e]{1,200}$")
+_CALLER_KEY = re.compile(r"^[\x21-\x7e]{1,200}$")
 _UUID7 = re.compile(
     r"^[0-9a-fA-F]{8}-?[0-9a-fA-F]{4}-?7[0-9a-fA-F]{3}-?[89abAB][0-9a-fA-F]{3}"
     r"-?[0-9a-fA-F]{12}$"
@@ -47,12 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """A key that one process may run.
+    """A key that only the process that issued it can run.
 
     Attributes
     ----------
+    node : NodeId
+        The node of that process, the owner of the ticket.
+    incarnation : Incarnation
+        The run of that process.
     epoch : int
-        Ticket epoch of the home at the time of issue.
+        Ticket epoch of the owner at the time of issue.
     """
 
     key: IdempotencyKey
@@ -62,12 +66,12 @@
 
 
 def read_key(key: IdempotencyKey) -> CallerKey | Ticket:
-    """Return the typed form of an ``Idempotency-Key``.
+    """Return the parsed value of an ``Idempotency-Key`` header.
 
     Raises
     ------
     MalformedKey
-        If it is neither a ticket nor 1 to 200 visible ASCII characters.
+        If the value is neither a ticket nor 1 to 200 visible ASCII characters.
 
     Examples
     --------
@@ -76,9 +80,9 @@
     >>> read_key(IdempotencyKey("t1.n1.0123abcd.4.x")).epoch
     4
     """
-    if not _PLAIN.match(key):
+    if not _CALLER_KEY.match(key):
         raise MalformedKey("1 to 200 visible ASCII characters are taken")
-    if not key.startswith(TICKET_MARK):
+    if not key.startswith(TICKET_START):
         return CallerKey(key)
     match = _TICKET.match(key)
     if match is None:
@@ -92,14 +96,14 @@
 
 
 def ticket_prefix(node: NodeId, incarnation: Incarnation, epoch: int) -> str:
-    """Return what a caller completes to a ticket by adding ``.NONCE``."""
-    return f"{TICKET_MARK}{node}.{incarnation}.{epoch}"
+    """Return the prefix that a caller completes to a ticket with ``.NONCE``."""
+    return f"{TICKET_START}{node}.{incarnation}.{epoch}"
 
 
 def caller_key_time(key: IdempotencyKey) -> float | None:
     """Return the time of day within a key of UUID version 7, in seconds.
 
-    None for a key of any other form, whose age cannot be told.
+    Return None for a key of any other form, because its age is not known.
     """
     if not _UUID7.match(key):
         return None
--- a/poplarrelay/systems/lookups.py
+++ b/poplarrelay/systems/lookups.py
@@ -1,10 +1,11 @@
-"""Tell callers what became of a deferred request, wherever it is kept.
+"""Answer callers' lookups of deferred requests, on any node.
 
 Notes
 -----
-What a caller was told once must not be taken back: the word "running" from a copy is
-worth less than an outcome elsewhere, and "no such request" is final, so it takes the
-word of every node that may have the request.
+A later lookup must not contradict an earlier one. An outcome at one node therefore
+takes precedence over "running" from a copy at another node. "No such request" is final,
+and is returned only if every node that may have the request has replied that it does
+not have it.
 """
 
 from __future__ import annotations
@@ -36,24 +37,24 @@
     "combine_search",
 ]
 
-#: Parts of a request id, with dots between them; see `Gateway.new_request_id`.
+#: Number of parts of a request id, separated by dots; see `Gateway.new_request_id`.
 REQUEST_ID_PARTS = 4
-#: Most peers that are asked for a request whose home does not answer.
-MAX_PEERS_ASKED = 16
-_ASKED = (MemberStatus.ALIVE, MemberStatus.LEAVING, MemberStatus.SUSPECT)
+#: Most peers that are queried for a request, besides its owner.
+MAX_QUERIED_PEERS = 16
+_REACHABLE = (MemberStatus.ALIVE, MemberStatus.LEAVING, MemberStatus.SUSPECT)
 
 
 @dataclass(frozen=True, slots=True)
 class LookupResult:
-    """Where a deferred request stands.
+    """State of a deferred request at one node.
 
     Attributes
     ----------
     outcome : Outcome or None
-        None while it runs.
+        None while the request is running.
     copy : bool
-        Known from a copy only, or with an unconfirmed outcome; another node may have
-        told the outcome.
+        Whether the node has only a copy of the request, or an outcome that no peer has
+        confirmed. Another node may already have returned an outcome.
     """
 
     outcome: Outcome | None
@@ -62,34 +63,36 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupElsewhere:
-    """Another node has the request, or may have it.
+    """The other nodes that have the request, or may have it.
 
     Attributes
     ----------
     peers : tuple of str
-        Nodes to ask, the most likely one first.
-    home : str or None
-        The one of them that runs the request, as far as this node knows.
+        Addresses of the nodes to query, the most likely one first.
+    team : TeamId
+        Team of the caller.
+    owner : str or None
+        Address of the request's owner, None if this node has no row of it.
     copy : bool
-        Whether this node has the request, without an outcome that it may tell.
+        Whether this node has the request, but no outcome that it can return.
     complete : bool
-        Whether these are all the nodes that may have the request.
+        Whether `peers` contains all nodes that may have the request.
     """
 
     peers: tuple[str, ...]
     team: TeamId
-    home: str | None = None
+    owner: str | None = None
     copy: bool = False
     complete: bool = True
 
 
 class SearchResult(Enum):
-    """What is known when no node has told of an outcome.
+    """Result of a search in which no node has returned an outcome.
 
     RUNNING
-        The request is accepted and has no outcome that a caller may have been told.
+        The request is accepted, and no caller can have received an outcome yet.
     UNKNOWN
-        A node that may know more has not answered.
+        A node that may have the outcome has not answered.
     ABSENT
         There is no such request.
     """
@@ -100,57 +103,57 @@
 
 
 def combine_search(
-    found: LookupElsewhere, copies: bool, silent: Iterable[str]
+    found: LookupElsewhere, copies: bool, unanswered: Iterable[str]
 ) -> SearchResult:
-    """Return what a search without an outcome comes to.
+    """Return the result of a search in which no node has returned an outcome.
 
     Parameters
     ----------
     found : LookupElsewhere
-        What the node itself knew.
+        Result of the lookup at the node that searches.
     copies : bool
-        Whether any node holds a copy.
-    silent : iterable of str
+        Whether any queried node has a copy.
+    unanswered : iterable of str
         Peers that have not answered.
 
     Notes
     -----
-    A home tells no outcome before the newest copy has it, so its silence alone does
-    not put the word of the copies in doubt.
+    An owner returns no outcome before the newest copy contains it. The result of the
+    copies is therefore reliable if only the owner has not answered.
     """
-    silent = set(silent)
-    if (copies or found.copy) and found.complete and silent <= {found.home}:
+    unanswered = set(unanswered)
+    if (copies or found.copy) and found.complete and unanswered <= {found.owner}:
         return SearchResult.RUNNING
-    if copies or found.copy or silent or not found.complete:
+    if copies or found.copy or unanswered or not found.complete:
         return SearchResult.UNKNOWN
     return SearchResult.ABSENT
 
 
 def answer_lookups(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Answer callers who come for a deferred request."""
-    for asked in inbox.of(LookupAsked):
-        yield Reply(asked.call, _look_up(world, asked))
+    """Answer callers' lookups of deferred requests."""
+    for lookup in inbox.of(LookupAsked):
+        yield Reply(lookup.call, _look_up(world, lookup))
 
 
 def _look_up(
-    world: World, asked: LookupAsked
+    world: World, lookup: LookupAsked
 ) -> LookupResult | LookupElsewhere | RequestNotFound | AuthenticationFailed:
-    """Return a request's state; for another team's id, as if it did not exist."""
+    """Return the state of a request; a request of another team counts as absent."""
     try:
-        team = asked.team or team_of(world, asked.token_sha256)
+        team = lookup.team or team_of(world, lookup.token_sha256)
     except AuthenticationFailed as error:
         return error
-    request = world.requests.get(asked.id)
+    request = world.requests.get(lookup.id)
     if request is not None and request.team == team and request.deferred:
-        return _look_up_local(world, request, forwarded=asked.forwarded)
-    stored = _stored(world, asked.id)
-    mine = stored is not None and stored.team == team
-    if stored is not None and mine and stored.outcome is not None:
+        return _look_up_local(world, request, forwarded=lookup.forwarded)
+    stored = _stored_request(world, lookup.id)
+    same_team = stored is not None and stored.team == team
+    if stored is not None and same_team and stored.outcome is not None:
         return LookupResult(decode_outcome(stored.outcome))
-    if asked.forwarded and mine:
+    if lookup.forwarded and same_team:
         return LookupResult(None, copy=True)
-    if request is None and not asked.forwarded:
-        elsewhere = _elsewhere(world, asked.id, team, mine)
+    if request is None and not lookup.forwarded:
+        elsewhere = _nodes_to_query(world, lookup.id, team, same_team)
         if elsewhere is not None:
             return elsewhere
     return RequestNotFound("the team has no such request")
@@ -159,13 +162,13 @@
 def _look_up_local(
     world: World, request: Request, forwarded: bool
 ) -> LookupResult | LookupElsewhere:
-    """Return the state of a deferred request whose home is this node.
+    """Return the state of a deferred request that this node owns.
 
     Notes
     -----
     A peer that receives a copy of the outcome returns it to callers, even if its
     confirmation is lost. Until such a copy is confirmed, "running" from this node is
-    therefore no more reliable than from a copy, and those peers have to be asked.
+    therefore no more reliable than from a copy, and those peers have to be queried.
     """
     outcome = published_outcome(world, request)
     unconfirmed = outcome is None and request.outcome is not None
@@ -188,8 +191,8 @@
     )
 
 
-def _stored(world: World, request: RequestId) -> RequestMessage | None:
-    """Return a peer's request that is held here, or one that is being handed over."""
+def _stored_request(world: World, request: RequestId) -> RequestMessage | None:
+    """Return the copy of a peer's request, or a request that is being handed over."""
     held = world.held_copies.get(request)
     if held is not None:
         return held.request
@@ -199,40 +202,40 @@
     return next((stored for stored in handed if stored.id == request), None)
 
 
-def _elsewhere(
+def _nodes_to_query(
     world: World, request: RequestId, team: TeamId, copy: bool
 ) -> LookupElsewhere | None:
-    """Return whom to ask: the request's home, and the peers that may hold its copy."""
+    """Return the nodes to query: the request's owner and the peers that may hold it."""
     parts = request.split(".")
     if len(parts) != REQUEST_ID_PARTS:
         return None
-    home = _home(world, NodeId(parts[1]), Incarnation(parts[2]))
+    owner = _owner(world, NodeId(parts[1]), Incarnation(parts[2]))
     others = [
         member
         for member in world.members.values()
-        if member is not home and member.status is not MemberStatus.LEFT
+        if member is not owner and member.status is not MemberStatus.LEFT
     ]
-    likely = rank_peers(request, others)[:MAX_PEERS_ASKED]
-    reachable = [member for member in likely if member.status in _ASKED]
-    first = [] if home is None else [home]
+    likely = rank_peers(request, others)[:MAX_QUERIED_PEERS]
+    reachable = [member for member in likely if member.status in _REACHABLE]
+    first = [] if owner is None else [owner]
     peers = tuple(dict.fromkeys(member.peers for member in (*first, *reachable)))
-    if not peers and not _awaits_peers(world):
+    if not peers and not _expects_peers(world):
         return None
     return LookupElsewhere(
         peers,
         team,
-        home=None if home is None else home.peers,
+        owner=None if owner is None else owner.peers,
         copy=copy,
         complete=bool(peers) and len(reachable) == len(likely),
     )
 
 
-def _awaits_peers(world: World) -> bool:
-    """Return whether there are other nodes, none of which has been heard yet."""
+def _expects_peers(world: World) -> bool:
+    """Return whether the settings name a seed other than this node."""
     return any(seed != world.me.peers for seed in world.settings.seeds)
 
 
-def _home(world: World, node: NodeId, incarnation: Incarnation) -> Member | None:
+def _owner(world: World, node: NodeId, incarnation: Incarnation) -> Member | None:
     if incarnation == world.incarnation and world.handover is not None:
         return world.members.get(world.handover.successor)
     return owner_of(world, node, incarnation)
--- a/poplarrelay/systems/request_copies.py
+++ b/poplarrelay/systems/request_copies.py
@@ -3,13 +3,14 @@
 Notes
 -----
 A deferred request outlives its caller's connection, so its caller cannot notice that
-its home has crashed. What callers are told must survive that crash: a request is
-accepted once a peer holds a copy, and its outcome is told once that copy has it. Only
-where no peer takes a copy is a request accepted, and its outcome told, all the same.
+its owner has crashed. Everything that callers are told must survive that crash. A
+request is therefore accepted when a peer has stored a copy, and its outcome is
+published when that copy contains it. If no peer stores a copy, the request is accepted
+and its outcome is published without one.
 
-A peer that is busy may take a copy long after the home has turned to another one.
-Copies are numbered, so that an old one neither replaces a newer one nor is run in
-its place; see `poplarrelay.systems.takeover`.
+A busy peer can store a copy long after the owner has sent one to another peer. Copies
+are numbered: an old copy neither replaces a newer one nor is run in its place; see
+`poplarrelay.systems.takeover`.
 
 References
 ----------
@@ -50,17 +51,17 @@
     "transfer_to",
 ]
 
-#: Peers that are asked in a row to take a copy before a request goes on without one.
+#: Peers that are sent a copy, one after another, before a request continues without.
 MAX_TRIES = 3
-#: Seconds until peers are asked again after that.
+#: Seconds until the next attempt to send a copy after these peers have failed.
 RETRY_S = 1.0
-_PHASES = (NodePhase.SERVING, NodePhase.DRAINING)
+_SENDING_PHASES = (NodePhase.SERVING, NodePhase.DRAINING)
 
 
 def rank_peers(
-    request: RequestId, peers: Iterable[Member], home: DomainId | None = None
+    request: RequestId, peers: Iterable[Member], owner_domain: DomainId | None = None
 ) -> list[Member]:
-    """Return peers in the order in which they are asked to take a copy.
+    """Return peers in the order in which they are sent a copy.
 
     Parameters
     ----------
@@ -68,16 +69,16 @@
         The request.
     peers : iterable of Member
         The peers.
-    home : DomainId or None
-        The home's failure domain; its peers come last.
+    owner_domain : DomainId or None
+        The owner's failure domain; peers in this domain come last.
 
     Notes
     -----
-    Every node finds the same order without being told, so few have to be asked for
-    a copy whose home is gone, however many nodes there are.
+    Every node computes the same order without communication. If the owner is gone,
+    only a few peers are queried for its copy, regardless of the number of nodes.
     """
     return sorted(
-        peers, key=lambda peer: (peer.domain == home, _rank(request, peer.node))
+        peers, key=lambda peer: (peer.domain == owner_domain, _rank(request, peer.node))
     )
 
 
@@ -86,38 +87,38 @@
 
 
 def accepted_copy(request: Request) -> SentCopy:
-    """Return the row of a request that came from its former home."""
+    """Return the `SentCopy` of a request that this node has from a former owner."""
     return SentCopy(accepted=True, published=request.outcome is not None)
 
 
 def published_outcome(world: World, request: Request) -> Outcome | None:
-    """Return what callers may be told of one of this node's deferred requests."""
+    """Return the published outcome of a deferred request of this node, or None."""
     copy = world.sent_copies.get(request.id)
     return request.outcome if copy is not None and copy.published else None
 
 
 def send_copies(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Copy new deferred requests and their answers, and replace lost copies."""
+    """Send copies of new deferred requests and outcomes, and replace lost copies."""
     for answered in inbox.of(CopyAnswered):
-        yield from _take_answer(world, answered, now)
-    if world.phase not in _PHASES:
+        yield from _handle_reply(world, answered, now)
+    if world.phase not in _SENDING_PHASES:
         return
     for request in list(world.requests.values()):
-        if request.deferred and _due(world, request, now):
+        if request.deferred and _needs_copy(world, request, now):
             yield from _send(world, request, now)
     for request_id in list(world.sent_copies):
         if request_id not in world.requests:
             del world.sent_copies[request_id]
 
 
-def _due(world: World, request: Request, now: float) -> bool:
+def _needs_copy(world: World, request: Request, now: float) -> bool:
     copy = world.sent_copies.get(request.id)
     if copy is None:
         return True
-    if copy.waiting:
+    if copy.in_flight:
         return False
     ended = request.state is RequestState.ENDED
-    if now < copy.next_at and (copy.published or not ended):
+    if now < copy.next_attempt_at and (copy.published or not ended):
         return False
     holder = world.members.get(copy.holder) if copy.holder else None
     gone = (MemberStatus.LEAVING, MemberStatus.DEAD, MemberStatus.LEFT)
@@ -131,11 +132,11 @@
     if holder is None:
         copy.holder = None
         copy.failed.clear()
-        copy.next_at = now + RETRY_S
-        yield from _accept(request, copy, copied=False)
+        copy.next_attempt_at = now + RETRY_S
+        yield from _accept_and_publish(request, copy, copied=False)
         return
     request.copies += 1
-    copy.holder, copy.waiting = holder.node, True
+    copy.holder, copy.in_flight = holder.node, True
     copy.sending_ended = request.state is RequestState.ENDED
     message = CopyMessage(
         node=world.node,
@@ -147,7 +148,7 @@
 
 
 def _next_holder(world: World, request: Request, copy: SentCopy) -> Member | None:
-    """Return the peer to ask, best the one that holds a copy already."""
+    """Return the peer to send a copy to, the present holder if it is available."""
     if len(copy.failed) >= MAX_TRIES:
         return None
     ready = [
@@ -163,31 +164,33 @@
     return next(iter(rank_peers(request.id, ready, world.me.domain)), None)
 
 
-def _take_answer(world: World, answered: CopyAnswered, now: float) -> Iterator[Effect]:
+def _handle_reply(world: World, answered: CopyAnswered, now: float) -> Iterator[Effect]:
     request = world.requests.get(answered.request)
     copy = world.sent_copies.get(answered.request)
     if request is None or copy is None:
         return
-    copy.waiting = False
+    copy.in_flight = False
     reply = answered.reply
     if reply is not None and reply.moved:
-        yield from _follow(world, request, copy, reply, now)
+        yield from _leave_to_peer(world, request, copy, reply, now)
     elif reply is not None and reply.taken:
         copy.failed.clear()
         copy.maybe_taken_over = False
         copy.ended = copy.sending_ended
-        yield from _accept(request, copy, copied=True)
+        yield from _accept_and_publish(request, copy, copied=True)
     elif copy.holder is not None:
         copy.failed.add(copy.holder)
-        copy.holder, copy.next_at = None, now
+        copy.holder, copy.next_attempt_at = None, now
 
 
-def _accept(request: Request, copy: SentCopy, copied: bool) -> Iterator[Effect]:
-    """Tell the caller what may be told now."""
+def _accept_and_publish(
+    request: Request, copy: SentCopy, copied: bool
+) -> Iterator[Effect]:
+    """Accept the request, and publish its outcome if that is possible now."""
     ended = copy.ended if copied else request.state is RequestState.ENDED
-    news = not copy.accepted or (ended and not copy.published)
+    changed = not copy.accepted or (ended and not copy.published)
     copy.published = copy.published or ended
-    if news:
+    if changed:
         yield LogDecision(
             Decision.DEFER,
             (
@@ -203,11 +206,11 @@
         yield AcceptDeferred(request.id)
 
 
-def _follow(
+def _leave_to_peer(
     world: World, request: Request, copy: SentCopy, reply: CopyReply, now: float
 ) -> Iterator[Effect]:
-    """Leave a request to the peer that took it over while this node was away."""
-    home = world.members.get(copy.holder) if copy.holder else None
+    """Leave a request to the peer that took it over while this node was unreachable."""
+    owner = world.members.get(copy.holder) if copy.holder else None
     copy.maybe_taken_over = False
     if reply.outcome is not None:
         outcome = decode_outcome(reply.outcome)
@@ -216,12 +219,12 @@
         elif not copy.published:
             request.outcome = outcome
         copy.ended = True
-        yield from _accept(request, copy, copied=True)
-    elif home is not None:
-        yield from _accept(request, copy, copied=True)
+        yield from _accept_and_publish(request, copy, copied=True)
+    elif owner is not None:
+        yield from _accept_and_publish(request, copy, copied=True)
         stored = encode_request(request, now)
         held = HeldCopy(
-            home.node, home.incarnation, home.generation, stored, received_at=now
+            owner.node, owner.incarnation, owner.generation, stored, received_at=now
         )
         yield from transfer_to(world, request, held, now)
 
@@ -229,10 +232,12 @@
 def transfer_to(
     world: World, request: Request, held: HeldCopy, now: float
 ) -> Iterator[Effect]:
-    """Leave a request to the peer that runs it too, and keep a copy for that one."""
-    yield LogDecision(Decision.DEFER, (("request", request.id), ("left_to", held.home)))
+    """Leave a request to the peer that also runs it, and hold a copy for that peer."""
+    yield LogDecision(
+        Decision.DEFER, (("request", request.id), ("left_to", held.owner))
+    )
     world.held_copies[request.id] = held
     remove_request(world, request, now)
-    # Ends the attempt that may still run here.
+    # End the attempt that may still be running at this node.
     outcome = Unknown(UnknownReason.HOME_UNREACHABLE)
     yield EndRequest(request.id, outcome, deferred=True)
--- a/poplarrelay/systems/schedule.py
+++ b/poplarrelay/systems/schedule.py
@@ -9,7 +9,7 @@
 from poplarrelay.systems.admitting import admit_requests, cancel_abandoned
 from poplarrelay.systems.attempting import follow_attempts
 from poplarrelay.systems.capacity import scale_hosts
-from poplarrelay.systems.claiming import fold_claims, follow_claims, follow_questions
+from poplarrelay.systems.claiming import fold_claims, follow_claims, follow_key_queries
 from poplarrelay.systems.configuring import (
     fold_configuration,
     publish_changes,
@@ -50,8 +50,8 @@
 
 System = Callable[[World, Inbox, float], Iterator[Effect]]
 
-#: What is learned comes before what is decided by it: records, news and notices
-#: first, then results of attempts, then arrivals, then dispatch.
+#: Systems that update the tables run before systems that decide by them: first records,
+#: gossip and notices, then results of attempts, then arrivals, then dispatch.
 SYSTEMS: tuple[System, ...] = (
     fold_configuration,
     fold_claims,
@@ -66,7 +66,7 @@
     drain,
     follow_attempts,
     follow_forwards,
-    follow_questions,
+    follow_key_queries,
     follow_claims,
     cancel_abandoned,
     expire_requests,
@@ -101,12 +101,12 @@
     inbox : Inbox
         The messages since the last tick.
     now : float
-        Monotonic time; never smaller than in the tick before.
+        Monotonic time; never smaller than in the previous tick.
 
     Returns
     -------
     effects : list of Effect
-        To be carried out in order.
+        Effects, to be carried out in this order.
     """
     effects: list[Effect] = []
     for system in SYSTEMS:
--- a/poplarrelay/systems/takeover.py
+++ b/poplarrelay/systems/takeover.py
@@ -1,15 +1,16 @@
-"""Hold copies of peers' deferred requests, and take requests over from homes that go.
+"""Hold copies of peers' deferred requests, and take over requests of lost owners.
 
 Notes
 -----
-If a home is declared dead or comes back as a new incarnation, a peer runs its requests.
-Several peers may have a copy: one that was too busy to confirm it in time took it all
-the same. So a peer first asks the others that may have one. Who has the outcome, or
-runs the request already, goes before the newest copy, and that before older ones; a
-peer that does not answer is waited for until it is declared dead itself.
-
-A home that was only frozen may run a request too. Work that must not be repeated, or
-has a key, is therefore not run again but ends as unknown.
+If the owner of a request is declared dead or restarts as a new incarnation, a peer
+takes over the request. Several peers can have a copy, because a peer that was too busy
+to confirm a copy in time has still stored it. A holder therefore first queries the
+other peers that may have a copy. A peer that has the outcome, or already runs the
+request, takes precedence over the newest copy, and the newest copy over older ones. The
+holder waits for a peer that does not reply until that peer is declared dead itself.
+
+An owner that was only paused may run a request too. Work that must not be repeated, or
+that has a key, is therefore not run again but ends as unknown.
 """
 
 from __future__ import annotations
@@ -45,38 +46,38 @@
 
 __all__ = ["answer_copy_queries", "hold_copies", "take_over_copies"]
 
-#: Peers that are asked before a request is taken over, the first ones by rank.
-MAX_ASKED = 4
-#: Seconds until a peer is asked again that has not answered, or holds a newer copy.
-ASK_AGAIN_S = 0.3
+#: Most peers that are queried before a request is taken over, the first by rank.
+MAX_QUERIED_PEERS = 4
+#: Seconds until a peer that has not replied, or has a newer copy, is queried again.
+QUERY_RETRY_S = 0.3
 _REACHABLE = (MemberStatus.ALIVE, MemberStatus.LEAVING, MemberStatus.SUSPECT)
 
 
 def hold_copies(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Hold copies for peers."""
+    """Store the copies that peers send, and reply to them."""
     for received in inbox.of(CopyReceived):
-        reply = yield from _hold(world, received.copy, now)
+        reply = yield from _store(world, received.copy, now)
         yield Reply(received.call, reply)
 
 
-def _hold(
+def _store(
     world: World, message: CopyMessage, now: float
 ) -> Generator[Effect, None, CopyReply]:
     request_id = RequestId(message.request.id)
-    mine = world.requests.get(request_id)
-    if mine is not None and message.request.outcome is not None:
-        yield from conclude(world, mine, decode_outcome(message.request.outcome), now)
-    if mine is not None and mine.outcome is not None:
-        return CopyReply(taken=True, moved=True, outcome=encode_outcome(mine.outcome))
-    if mine is not None and not _leaves_to_sender(world, message):
+    own = world.requests.get(request_id)
+    if own is not None and message.request.outcome is not None:
+        yield from conclude(world, own, decode_outcome(message.request.outcome), now)
+    if own is not None and own.outcome is not None:
+        return CopyReply(taken=True, moved=True, outcome=encode_outcome(own.outcome))
+    if own is not None and not _yields_to_sender(world, message):
         return CopyReply(taken=True, moved=True)
-    if mine is not None:
-        yield from transfer_to(world, mine, _held_copy(message, now), now)
+    if own is not None:
+        yield from transfer_to(world, own, _held_copy(message, now), now)
         return CopyReply(taken=True)
     if world.phase is not NodePhase.SERVING:
         return CopyReply(taken=False)
     held = world.held_copies.get(request_id)
-    if held is not None and _replaces(held.request, message.request):
+    if held is not None and _supersedes(held.request, message.request):
         return CopyReply(taken=False)
     world.held_copies[request_id] = _held_copy(message, now)
     return CopyReply(taken=True)
@@ -92,34 +93,35 @@
     )
 
 
-def _leaves_to_sender(world: World, message: CopyMessage) -> bool:
-    """Return whether this node leaves a request to a peer that runs it as well.
+def _yields_to_sender(world: World, message: CopyMessage) -> bool:
+    """Return whether this node leaves a request to a peer that also runs it.
 
     Notes
     -----
-    A home that was taken for dead leaves it to whoever took it over. Both sides come
-    to the same result, or both could leave it to the other.
+    An owner that was declared dead leaves the request to the peer that took it over.
+    Both sides must decide for the same node; otherwise each could leave the request to
+    the other one.
     """
-    first = message.request.id.split(".")[2:3]
-    if first == [message.incarnation]:
+    first_owner = message.request.id.split(".")[2:3]
+    if first_owner == [message.incarnation]:
         return False
-    return first == [world.incarnation] or message.node < world.node
+    return first_owner == [world.incarnation] or message.node < world.node
 
 
-def _replaces(one: RequestMessage, other: RequestMessage) -> bool:
-    """Return whether a copy holds where another one of the same request is known."""
-    if (one.outcome is None) is not (other.outcome is None):
-        return one.outcome is not None
-    return one.copies > other.copies
+def _supersedes(held: RequestMessage, received: RequestMessage) -> bool:
+    """Return whether the copy held takes precedence over one that was received."""
+    if (held.outcome is None) is not (received.outcome is None):
+        return held.outcome is not None
+    return held.copies > received.copies
 
 
 def answer_copy_queries(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Tell peers what this node has of requests whose home is gone."""
-    for asked in inbox.of(CopiesQueried):
-        standings = tuple(
-            _status(world, RequestId(request)) for request in asked.query.requests
+    """Reply to peers' queries about requests whose owner is gone."""
+    for queried in inbox.of(CopiesQueried):
+        statuses = tuple(
+            _status(world, RequestId(request)) for request in queried.query.requests
         )
-        yield Reply(asked.call, CopyStatuses(standings=standings))
+        yield Reply(queried.call, CopyStatuses(standings=statuses))
 
 
 def _status(world: World, request_id: RequestId) -> CopyStatus:
@@ -141,130 +143,134 @@
 
 
 def take_over_copies(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Run the requests whose homes are gone, and keep their answers."""
+    """Take over the requests whose owners are gone, and expire old copies."""
     for answered in inbox.of(CopiesAnswered):
-        _take_statuses(world, answered, now)
+        _handle_statuses(world, answered, now)
     if world.handover is not None:
         return
-    questions: dict[NodeId, list[RequestId]] = {}
+    queries: dict[NodeId, list[RequestId]] = {}
     for request_id, held in list(world.held_copies.items()):
         _follow_successor(world, held)
         if request_id in world.requests:
             del world.held_copies[request_id]
-        elif _gone(world, held, now):
-            if held.asked or now < held.next_ask_at:
+        elif _owner_is_gone(world, held, now):
+            if held.queried or now < held.next_query_at:
                 continue
-            unsure = _unsure(world, request_id, held)
-            if not unsure:
+            peers = _peers_to_query(world, request_id, held)
+            if not peers:
                 del world.held_copies[request_id]
                 yield from _take_over(world, held, now)
-            for peer in unsure:
-                held.asked.add(peer.node)
-                questions.setdefault(peer.node, []).append(request_id)
+            for peer in peers:
+                held.queried.add(peer.node)
+                queries.setdefault(peer.node, []).append(request_id)
         elif now - held.received_at > world.settings.limits.key_memory_s:
             del world.held_copies[request_id]
-    for node, requests in questions.items():
+    for node, requests in queries.items():
         query = CopyQuery(requests=tuple(requests))
         yield QueryCopies(node, world.members[node].peers, query)
 
 
-def _gone(world: World, held: HeldCopy, now: float) -> bool:
-    """Return whether the home of a copy will not run its request any more.
+def _owner_is_gone(world: World, held: HeldCopy, now: float) -> bool:
+    """Return whether the owner of a copy no longer runs its request.
 
     Notes
     -----
-    A copy may arrive before the news of the process that sent it. So a home that is
-    not known, or only as an older process, is not gone.
+    A copy can arrive before the gossip about the process that sent it. If this node
+    has no row of the owner, or the row of an older process, the owner is not gone.
     """
-    home = world.members.get(held.home)
-    if home is None:
+    owner = world.members.get(held.owner)
+    if owner is None:
         return now - held.received_at > world.settings.timing.forget_dead_s
-    if home.incarnation != held.incarnation:
-        return home.generation > held.generation
-    if home.status is MemberStatus.LEFT:
-        return home.successor is None
-    return home.status is MemberStatus.DEAD
+    if owner.incarnation != held.incarnation:
+        return owner.generation > held.generation
+    if owner.status is MemberStatus.LEFT:
+        return owner.successor is None
+    return owner.status is MemberStatus.DEAD
 
 
 def _follow_successor(world: World, held: HeldCopy) -> None:
-    """Take the successor of a home that has left for the home of its copy."""
-    home = world.members.get(held.home)
-    if home is None or home.incarnation != held.incarnation:
+    """Set the successor of an owner that has left as the owner of its copy."""
+    owner = world.members.get(held.owner)
+    if owner is None or owner.incarnation != held.incarnation:
         return
-    if home.status is MemberStatus.LEFT and home.successor is not None:
-        successor = world.members.get(home.successor)
+    if owner.status is MemberStatus.LEFT and owner.successor is not None:
+        successor = world.members.get(owner.successor)
         if successor is not None:
-            _rehome(held, successor)
+            _set_owner(held, successor)
 
 
-def _rehome(held: HeldCopy, home: Member) -> None:
-    held.home, held.incarnation = home.node, home.incarnation
-    held.generation = home.generation
+def _set_owner(held: HeldCopy, owner: Member) -> None:
+    held.owner, held.incarnation = owner.node, owner.incarnation
+    held.generation = owner.generation
     held.ruled_out.clear()
 
 
-def _unsure(world: World, request_id: RequestId, held: HeldCopy) -> list[Member]:
-    """Return the peers that may have more of a request than this node."""
+def _peers_to_query(
+    world: World, request_id: RequestId, held: HeldCopy
+) -> list[Member]:
+    """Return the peers that may have the outcome or a newer copy of a request."""
     if held.request.outcome is not None:
         return []
     peers = [
         member
         for member in world.members.values()
-        if member.status in _REACHABLE and member.node != held.home
+        if member.status in _REACHABLE and member.node != held.owner
     ]
-    home = world.members.get(held.home)
-    domain = None if home is None else home.domain
-    first = rank_peers(request_id, peers, domain)[:MAX_ASKED]
+    owner = world.members.get(held.owner)
+    domain = None if owner is None else owner.domain
+    first = rank_peers(request_id, peers, domain)[:MAX_QUERIED_PEERS]
     return [peer for peer in first if peer.node not in held.ruled_out]
 
 
-def _take_statuses(world: World, answered: CopiesAnswered, now: float) -> None:
-    """Note what a peer has of each request that it was asked for."""
-    standings = () if answered.reply is None else answered.reply.standings
-    by_request = {RequestId(status.request): status for status in standings}
+def _handle_statuses(world: World, answered: CopiesAnswered, now: float) -> None:
+    """Apply a peer's status of each request that it was queried about."""
+    statuses = () if answered.reply is None else answered.reply.standings
+    by_request = {RequestId(status.request): status for status in statuses}
     for request_id in answered.requests:
         held = world.held_copies.get(request_id)
         if held is None:
             continue
-        held.asked.discard(answered.node)
+        held.queried.discard(answered.node)
         status = by_request.get(request_id)
-        if status is None or not _settle(world, held, answered.node, status):
-            held.next_ask_at = now + ASK_AGAIN_S
+        if status is None or not _apply_status(world, held, answered.node, status):
+            held.next_query_at = now + QUERY_RETRY_S
 
 
-def _settle(world: World, held: HeldCopy, node: NodeId, status: CopyStatus) -> bool:
-    """Take a peer's standing, and return whether it need not be asked again."""
+def _apply_status(
+    world: World, held: HeldCopy, node: NodeId, status: CopyStatus
+) -> bool:
+    """Apply a peer's status; return whether no further query to it is needed."""
     if status.outcome is not None:
         found = {"outcome": status.outcome, "copies": status.copies}
         held.request = held.request.model_copy(update=found)
     elif status.state == "home":
         member = world.members.get(node)
         if member is not None:
-            _rehome(held, member)
-    elif status.state == "absent" or _goes_before(world, held, node, status):
+            _set_owner(held, member)
+    elif status.state == "absent" or _takes_precedence(world, held, node, status):
         held.ruled_out.add(node)
     else:
         return False
     return True
 
 
-def _goes_before(
+def _takes_precedence(
     world: World, held: HeldCopy, node: NodeId, status: CopyStatus
 ) -> bool:
-    """Return whether this node's copy is the newer one; by name where both are."""
-    mine = (held.request.copies, world.node)
-    return mine > (status.copies, node)
+    """Return whether this node's copy is newer; of equal ones, by node name."""
+    own = (held.request.copies, world.node)
+    return own > (status.copies, node)
 
 
 def _take_over(world: World, held: HeldCopy, now: float) -> Iterator[Effect]:
-    spent = now - held.received_at
-    request = decode_request(held.request, now - spent)
+    elapsed = now - held.received_at
+    request = decode_request(held.request, now - elapsed)
     world.requests[request.id] = request
     yield LogDecision(
         Decision.DEFER,
         (
             ("request", request.id),
-            ("taken_over_from", held.home),
+            ("taken_over_from", held.owner),
             ("copies", request.copies),
             ("asked", ",".join(sorted(held.ruled_out))),
         ),
--- a/poplarrelay/systems/tests/test_deferred_machine.py
+++ b/poplarrelay/systems/tests/test_deferred_machine.py
@@ -81,7 +81,7 @@
     def _kept_elsewhere(self, node, deferral):
         """Return whether the crash of a node leaves a confirmed copy behind."""
         copy = self.system.nodes[node].world.sent_copies.get(deferral.id)
-        return copy is None or (copy.holder is not None and not copy.waiting)
+        return copy is None or (copy.holder is not None and not copy.in_flight)
 
     @rule(node=NODES)
     def declare_dead(self, node):
--- a/poplarrelay/tables/__init__.py
+++ b/poplarrelay/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Entities as rows of plain tables; no logic beyond properties."""
+"""Tables of a node: plain rows of data that the systems read and change."""
--- a/poplarrelay/tables/capacity.py
+++ b/poplarrelay/tables/capacity.py
@@ -1,4 +1,4 @@
-"""Demand for models, as the holder of the placement duty sees it."""
+"""Demand for models, computed by the holder of the placement duty."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Requests that run or wait for a model.
+    """The number of requests that run at a model or wait for it.
 
     Attributes
     ----------
-    total, urgent : float
-        All, and those that must be served even without one failure domain.
+    total : float
+        All requests.
+    urgent : float
+        The requests that must be served even if one failure domain fails.
     """
 
     total: float
--- a/poplarrelay/tables/claims.py
+++ b/poplarrelay/tables/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys, as folded from the log, and ticket homes."""
+"""Claims of idempotency keys, and the keys that this process runs."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamKey:
-    """An idempotency key; keys of two teams never meet."""
+    """An idempotency key of a team; equal keys of two teams are different keys."""
 
     team: TeamId
     key: IdempotencyKey
 
     @classmethod
     def of(cls, team: str, key: str) -> TeamKey:
-        """Return the key for plain strings, as they travel."""
+        """Return the key for the plain strings of a message or record."""
         return cls(TeamId(team), IdempotencyKey(key))
 
 
@@ -39,10 +39,16 @@
 
     Attributes
     ----------
-    offset : int
-        Position of the claim's record in its stream.
-    node, incarnation
-        The process that may run the key.
+    offset : Offset
+        Offset of the claim's record in its stream.
+    node : NodeId
+        The node that can run the key.
+    incarnation : Incarnation
+        The run of that node's process that can run the key.
+    fingerprint : str
+        Digest of the work that the key was claimed for.
+    read_at : float
+        Monotonic time at which this node folded the record.
     """
 
     offset: Offset
@@ -54,7 +60,7 @@
 
     @classmethod
     def from_record(cls, offset: Offset, record: ClaimRecord, read_at: float) -> Claim:
-        """Return the claim that a record makes."""
+        """Return the claim that a record contains."""
         return cls(
             offset=offset,
             record=RecordId(record.id),
@@ -66,19 +72,19 @@
 
 
 class KeyState(Enum):
-    """What became of a key at the process that may run it.
+    """State of a key at the process that can run it.
 
     OPEN
-        Held, neither run nor given up.
+        No attempt has been sent, and the key is not released.
     RUNNING
-        An attempt has been or may have been sent.
+        An attempt has been sent, or its sending is in progress.
     FINISHED
-        Ran; the outcome is kept.
+        The work ran, and its outcome is stored.
     RELEASED
-        Given up before any attempt was sent, and never to be used again by this
-        process without a new claim.
+        The key was released before any attempt was sent. This process does not run
+        it again without a new claim.
     BROKEN
-        May have run.
+        An attempt was sent, and it is not known whether the work ran.
     """
 
     OPEN = "open"
@@ -90,21 +96,25 @@
 
 @dataclass(slots=True)
 class KeyExecution:
-    """A key that this process may run, or has run.
+    """A key that this process can run, or has run.
 
     Attributes
     ----------
     request : RequestId
-        The request that runs under the key or ran last.
+        The request that runs under the key, or that ran last.
+    fingerprint : str
+        Digest of the work of that request.
+    changed_at : float
+        Monotonic time of the last change of `state`.
     claim : Offset or None
-        The claim that gives the right; None under a ticket, or while the claim
-        is on the way.
-    after : Offset or None
-        Offset of the claim that the claim on the way replaces.
+        Offset of the claim that gives the right to run the key; None for a ticket,
+        or while the claim is in flight.
+    replaced_claim : Offset or None
+        Offset of the claim that the claim in flight replaces.
     record : RecordId or None
-        The claim's record id; None under a ticket.
+        Id of the claim's record; None for a ticket.
     outcome : Outcome or None
-        Kept for repetitions of the request.
+        Stored for repetitions of the request.
     """
 
     state: KeyState
@@ -112,6 +122,6 @@
     fingerprint: str
     changed_at: float
     claim: Offset | None = None
-    after: Offset | None = None
+    replaced_claim: Offset | None = None
     record: RecordId | None = None
     outcome: Outcome | None = None
--- a/poplarrelay/tables/configuration.py
+++ b/poplarrelay/tables/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration in force, as folded from the log."""
+"""The configuration in force, folded from the log."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 
 __all__ = ["ChangeResult", "ConfigurationTable", "HistoryEntry", "InForce"]
 
-#: Changes that a node remembers for operators.
-HISTORY_KEPT = 500
+#: Most changes that a node stores for operators.
+MAX_HISTORY_ENTRIES = 500
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """A template or deployment in force and the offset that ordered it.
+    """A template or deployment in force, and the offset of its record.
 
     Attributes
     ----------
+    offset : Offset
+        Offset of the record that set the value.
     value : Template, Deployment or None
         None for one that was removed. The row stays, so that a late repetition
-        of the record that made it cannot bring it back.
+        of the record that created it cannot restore it.
     """
 
     offset: Offset
@@ -32,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """What the fold made of one record.
+    """Result of folding the record of one change.
 
     Attributes
     ----------
     won : bool
         Whether the change came into force.
     winner : Offset or None
-        Offset in force for its name after the record was folded.
+        Offset of the record in force for the change's subject after the fold.
     problem : str
-        Why a change that was not beaten by another did not come into force.
+        Why the change was rejected, if it did not lose to an earlier change.
     """
 
     won: bool
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """A change and what the fold made of it."""
+    """A change and the result of its fold."""
 
     offset: Offset
     subject: str
@@ -65,18 +67,18 @@
     Attributes
     ----------
     entries : dict of str to InForce
-        By name, such as ``template/shared`` or ``deployment/tide-east``.
+        Values by subject, such as ``template/shared`` or ``deployment/tide-east``.
     history : deque of HistoryEntry
         The newest changes folded by this node.
     policies : dict of TeamId to TeamPolicy
-        Worked out from `entries` whenever they change.
+        Policies of the teams, recomputed from `entries` on every change.
     team_of_token : dict of str to TeamId
-        By SHA-256 of the bearer token.
+        Teams by the SHA-256 of their bearer tokens.
     """
 
     entries: dict[str, InForce] = field(default_factory=dict)
     history: deque[HistoryEntry] = field(
-        default_factory=lambda: deque(maxlen=HISTORY_KEPT)
+        default_factory=lambda: deque(maxlen=MAX_HISTORY_ENTRIES)
     )
     policies: dict[TeamId, TeamPolicy] = field(default_factory=dict)
     team_of_token: dict[str, TeamId] = field(default_factory=dict)
--- a/poplarrelay/tables/copies.py
+++ b/poplarrelay/tables/copies.py
@@ -1,4 +1,4 @@
-"""Copies of deferred requests: those sent to peers, and those held for them."""
+"""Copies of deferred requests: copies sent to peers, and copies held for peers."""
 
 from __future__ import annotations
 
@@ -12,33 +12,35 @@
 
 @dataclass(slots=True)
 class SentCopy:
-    """Where the copy of one of this node's deferred requests is.
+    """State of the copy of one of this node's deferred requests.
 
     Attributes
     ----------
     holder : NodeId or None
-        The peer that holds it, or is asked to.
-    waiting : bool
-        Whether the peer's answer is awaited.
+        The peer that holds the copy, or to which the copy is in flight.
+    in_flight : bool
+        Whether the reply of `holder` is outstanding.
     failed : set of NodeId
-        Peers that have not taken it since the last one that has.
-    next_at : float
-        Monotonic time of the next try, after all have failed.
+        Peers that have not stored the copy since a peer last stored it.
+    next_attempt_at : float
+        Monotonic time of the next attempt after no peer has stored the copy.
     accepted : bool
-        Whether the caller has been told that the request is accepted.
-    ended, sending_ended : bool
-        Whether the copy that is held, or on its way, has the outcome.
+        Whether the caller has been sent the acceptance of the request.
+    ended : bool
+        Whether the copy at `holder` contains the outcome.
+    sending_ended : bool
+        Whether the copy in flight contains the outcome.
     published : bool
-        Whether callers may be told the outcome.
+        Whether the outcome can be returned to callers.
     maybe_taken_over : bool
-        Whether a peer may have taken the request over, since this node was taken for
-        dead.
+        Whether a peer may have taken over the request, because peers declared this
+        node dead.
     """
 
     holder: NodeId | None = None
-    waiting: bool = False
+    in_flight: bool = False
     failed: set[NodeId] = field(default_factory=set)
-    next_at: float = 0.0
+    next_attempt_at: float = 0.0
     accepted: bool = False
     ended: bool = False
     sending_ended: bool = False
@@ -52,21 +54,27 @@
 
     Attributes
     ----------
-    home, incarnation, generation : NodeId, Incarnation, int
+    owner : NodeId
         The peer that runs the request.
+    incarnation : Incarnation
+        The run of the owner's process that runs the request.
+    generation : int
+        Orders the incarnations of the owner.
+    received_at : float
+        Monotonic time at which the copy was received.
     ruled_out : set of NodeId
-        Peers that have nothing newer, as far as they were asked since the home went.
-    asked : set of NodeId
-        Peers whose answers are awaited.
-    next_ask_at : float
-        Monotonic time of the next question.
+        Peers that have replied, since the owner is gone, that they have no newer copy.
+    queried : set of NodeId
+        Peers whose replies are outstanding.
+    next_query_at : float
+        Monotonic time of the next query.
     """
 
-    home: NodeId
+    owner: NodeId
     incarnation: Incarnation
     generation: int
     request: RequestMessage
     received_at: float
     ruled_out: set[NodeId] = field(default_factory=set)
-    asked: set[NodeId] = field(default_factory=set)
-    next_ask_at: float = 0.0
+    queried: set[NodeId] = field(default_factory=set)
+    next_query_at: float = 0.0
--- a/poplarrelay/tables/endpoints.py
+++ b/poplarrelay/tables/endpoints.py
@@ -1,4 +1,4 @@
-"""Model engines and plain services, as this node knows them."""
+"""Model engines and plain services, with the state that this node has of them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class EndpointKind(Enum):
-    """What an endpoint serves."""
+    """The kind of work that an endpoint runs."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new work."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -28,20 +28,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint says of its load; old when it arrives.
+    """The load that an endpoint reports; it is already out of date when it arrives.
 
     Attributes
     ----------
     running, queued : int
-        Requests in the batch and waiting for it.
+        Numbers of requests in the batch and waiting for it.
     slots : int
-        Requests that fit in the batch.
+        Most requests in the batch.
     queued_tokens : int
-        Prompt tokens not yet computed.
+        Prompt tokens that still need prefill.
     prefill_tokens_per_s : float
-        Speed at which prompt tokens are computed.
+        Rate of prefill.
     step_s : float
-        Time between two tokens of one request.
+        Time between two tokens of one request, in seconds.
     """
 
     running: int = 0
@@ -54,14 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadChange:
-    """A request that this node sent to an endpoint, or that ended there.
+    """A change of an endpoint's load that this node has caused.
 
     Attributes
     ----------
+    at : float
+        Monotonic time of the change.
     requests : int
-        1 or -1.
+        1 if a request was sent, -1 if one ended.
     tokens : int
-        Prompt tokens that were added to compute.
+        Prompt tokens that the request adds to the endpoint's prefill.
     """
 
     at: float
@@ -71,36 +73,37 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """An endpoint.
+    """An endpoint, with this node's state of it.
 
     Attributes
     ----------
     names : frozenset of str
-        Models or services that it serves.
+        Models or services that the endpoint serves.
     price : float
         Price of its host per hour.
     leaving_at : float or None
-        Monotonic time at which it goes, if it was announced.
+        Monotonic time at which the endpoint leaves, if that was announced.
     sent : dict of RequestId to int
-        Running attempts of this node and the prompt tokens that each adds.
+        Attempts that this node has running at the endpoint, with the prompt tokens
+        that each adds.
     polled_at, used_at : float
         Monotonic times of the last poll and of the last request sent.
     poll_jitter : float
-        Factor on the interval of polls, so that nodes do not poll together.
+        Factor on the poll interval, so that nodes do not poll at the same time.
     changes : deque of LoadChange
-        What this node has changed and the last report does not show yet.
+        Changes by this node that the last report does not include yet.
     failures, poll_failures : int
-        Failed attempts and failed polls, each in a row.
+        Numbers of consecutive failed attempts and of consecutive failed polls.
     attempt_s : float
-        Moving average of the time that an attempt takes.
+        Moving average of the duration of an attempt, in seconds.
     closed_until : float
         Monotonic time until which no work is sent after failures.
     prefixes : dict of str to float
-        Prefixes sent here, and when.
+        Prompt prefixes sent to the endpoint, with the monotonic time of each.
     loaded : frozenset of str or None
-        Models that the engine reports as loaded; None if it does not say.
+        Models that the engine reports as loaded; None if it does not report them.
     ordering : bool
-        Whether an order is on its way.
+        Whether an order to the engine is in flight.
     """
 
     id: EndpointId
@@ -132,24 +135,24 @@
     next_order_at: float = 0.0
 
     def note_sent(self, request: RequestId, tokens: int, now: float) -> None:
-        """Note that a request was sent here, with prompt tokens to compute."""
+        """Record a request sent to this endpoint, with its prompt tokens."""
         self.sent[request] = tokens
         self.used_at = now
         self.changes.append(LoadChange(now, 1, tokens))
 
     def note_ended(self, request: RequestId, now: float) -> None:
-        """Note that a request has ended here, or has left."""
+        """Record that a request has ended at this endpoint or moved to another one."""
         if self.sent.pop(request, None) is not None:
             self.changes.append(LoadChange(now, -1))
 
     def note_report(self, report: LoadReport, now: float, lag_s: float) -> None:
-        """Take a report, which shows the load as it was `lag_s` seconds ago."""
+        """Store a report, which shows the load as it was `lag_s` seconds ago."""
         self.report = report
         self.reported_at = now
         while self.changes and self.changes[0].at <= now - lag_s:
             self.changes.popleft()
 
     def serves(self, name: str) -> bool:
-        """Return whether work for a model or service can be sent here."""
+        """Return whether this endpoint can run work for a model or service."""
         names = self.names if self.loaded is None else self.loaded
         return name in names
--- a/poplarrelay/tables/leases.py
+++ b/poplarrelay/tables/leases.py
@@ -1,4 +1,4 @@
-"""Leases of duties that only one node may hold."""
+"""Leases of duties; only one node can hold a duty at a time."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Duty(Enum):
-    """What only one node does at a time.
+    """A task that only one node does at a time.
 
     SNAPSHOTS
-        Writes the configuration again before the log trims it.
+        Write a snapshot of the configuration before the log trims its records.
     PLACEMENT
-        Gives orders to engines, and starts and stops hosts.
+        Order engines to load models, and start and stop hosts.
     """
 
     SNAPSHOTS = "snapshots"
@@ -30,11 +30,11 @@
     Attributes
     ----------
     offset : Offset
-        Position of its record, and its fencing number.
+        Offset of the lease's record, which is also its fencing token.
     term_s : float
-        Length; 0 if the duty was given up.
+        Lease term in seconds; 0 if the holder released the duty.
     read_at : float
-        Monotonic time at which this node read the record.
+        Monotonic time at which this node folded the record.
     """
 
     offset: Offset
@@ -47,13 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A record by which this node takes or renews a duty.
+    """A lease record that this node has sent, to take or renew a duty.
 
     Attributes
     ----------
     counted_from : float
-        Monotonic time before the record was sent; the term counts from here, since
-        others may count theirs from any later moment.
+        Monotonic time just before the record was sent. This node counts the term from
+        here, because other nodes count it from when they read the record, later.
     """
 
     record: RecordId
--- a/poplarrelay/tables/members.py
+++ b/poplarrelay/tables/members.py
@@ -1,4 +1,4 @@
-"""Nodes, as this node knows them."""
+"""The members of the cluster: the nodes that this node has rows of."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MemberStatus(Enum):
-    """Standing of a node among its peers, the more certain end last."""
+    """Membership status of a node, in the order of precedence, lowest first."""
 
     ALIVE = "alive"
     LEAVING = "leaving"
@@ -30,29 +30,29 @@
 
 @dataclass(slots=True)
 class Member:
-    """A node.
+    """The row of a node.
 
     Attributes
     ----------
     generation : int
         Orders the incarnations of one node.
     version : int
-        Raised by the node itself whenever its row changes or a suspicion has to
-        be denied.
+        Version of the row. The node itself raises it on every change of its row, and
+        to refute a suspicion.
     epoch : int
         The node's current ticket epoch.
     clock : float
-        Seconds since the node's start, by its own clock, when the row was made.
+        Seconds since the node's start, by its own clock, when the row was created.
     configuration_next : int
         Offset after the newest configuration record that the node has folded.
     successor : NodeId or None
-        The node that took over the outcomes of one that left.
+        The node that has taken over the outcomes of this node, if this node left.
     last_seen_at : float
-        Monotonic time of the last direct answer.
+        Monotonic time of the last direct reply.
     changed_at : float
         Monotonic time of the last change of status.
     told : int
-        How often the row has been passed on since it changed.
+        Number of times that the row has been sent since its last change.
     """
 
     node: NodeId
--- a/poplarrelay/tables/requests.py
+++ b/poplarrelay/tables/requests.py
@@ -1,4 +1,4 @@
-"""Requests that a node has taken, from arrival to outcome."""
+"""Requests that a node has received, from arrival to outcome."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
     @property
     def rank(self) -> int:
-        """Return the order of service, 0 first."""
+        """Return the rank of the class; rank 0 is served first."""
         return _RANKS[self]
 
 
@@ -43,20 +43,21 @@
 
 
 class RequestState(Enum):
-    """Where a request stands.
+    """State of a request.
 
     RECEIVED
-        Admitted, its right to run not yet settled.
+        Admitted; it is not yet decided which node can run it.
     CLAIMING
         Its claim is on the way to the log.
     ASKING
-        Another node holds the claim or ticket and has been asked.
+        Another node holds the claim or ticket; the request to that node is in flight.
     VERIFYING
-        The log is out of reach; the peers have been asked whether any holds the key.
+        The log is unreachable; all peers have been asked whether they have the key.
     JOINED
-        The same key runs here already; waits for that request's outcome.
+        Another request with the same key is in progress at this node; this one waits
+        for its outcome.
     QUEUED
-        May run, waits for an endpoint.
+        Can run, and waits for an endpoint.
     DISPATCHED
         An attempt is running.
     ENDED
@@ -74,7 +75,7 @@
 
 
 class WorkKind(Enum):
-    """What kind of endpoint runs the work."""
+    """Whether the work is a completion or a call of a plain service."""
 
     COMPLETION = "completion"
     SERVICE = "service"
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What is to be run.
+    """The work of a request.
 
     Attributes
     ----------
@@ -93,17 +94,17 @@
     prompt : str
         The prompt of a completion.
     max_tokens : int
-        Longest answer of a completion.
+        Most tokens in the answer of a completion.
     resume_from : int
-        Token index at which the caller wants the stream to start.
+        Index of the first token of the stream that the caller asks for.
     prompt_tokens : int
-        Estimate of the prompt's length in tokens.
+        Estimated length of the prompt in tokens.
     prefix : str
-        Digest of the head of the prompt, for affinity.
+        Digest of the start of the prompt, for affinity.
     repeatable : bool
-        Whether running it twice does no harm.
+        Whether the work can safely run twice.
     fingerprint : str
-        Digest of everything above, to tell two requests under one key apart.
+        Digest of all fields above, to detect a key that is reused for other work.
     """
 
     kind: WorkKind
@@ -123,16 +124,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One try to run a request at one endpoint.
+    """One attempt to run a request at one endpoint.
 
     Attributes
     ----------
     resume_from : int
-        Index of the first token that is still wanted.
+        Index of the first token that the attempt still has to produce.
     deadline : float
-        Monotonic time after which the answer is of no use.
+        Monotonic time after which the answer is of no use to the caller.
     recomputed : int
-        Tokens known by now that the endpoint computes again.
+        Recomputed tokens: tokens already received that the endpoint computes again.
     """
 
     id: AttemptId
@@ -145,7 +146,7 @@
 
 
 class MoveMethod(Enum):
-    """How an attempt leaves an endpoint."""
+    """How a running request is moved from its endpoint to another one."""
 
     FINISH = "finish"
     MOVE_CACHE = "move-cache"
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MovePlan:
-    """Order to continue a running attempt elsewhere."""
+    """Plan to continue a running request at another endpoint."""
 
     way: MoveMethod
     successor: Attempt
@@ -162,26 +163,32 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that this node has taken.
+    """A request that this node has received.
 
     Attributes
     ----------
-    deadline, arrived : float
-        Monotonic times.
+    arrived, deadline : float
+        Monotonic times of arrival and of the deadline.
+    first_token_s : float
+        Target for the time to the first token, in seconds.
     key : IdempotencyKey or None
         The caller's key; None if the work is repeatable or has no key.
     home_clock : float or None
-        For a forwarded request, this node's own clock as its sender knew it.
+        For a forwarded request, the newest time of this node's clock that the sender
+        had received, in seconds since this node's start.
+    copies : int
+        Number of copies of a deferred request sent to peers so far, by its present
+        and former owners.
+    started : bool
+        Whether an attempt may have started at an endpoint.
     tokens : int
         Answer tokens received so far.
     tried : list of EndpointId
-        Endpoints of attempts that failed, not to be chosen again.
+        Endpoints of failed attempts, not to be chosen again.
+    claim_until : float
+        Monotonic time at which this node stops waiting for the claim.
     dispatched_at : float or None
-        When the last attempt was sent.
-    started : bool
-        Whether an attempt may have begun at an endpoint.
-    copies : int
-        Copies of a deferred request that have been sent to peers, by all its homes.
+        Monotonic time at which the last attempt was sent.
     """
 
     id: RequestId
--- a/poplarrelay/tables/world.py
+++ b/poplarrelay/tables/world.py
@@ -51,12 +51,12 @@
 CLAIMS = StreamName("claims")
 
 
-#: Where every stream begins.
+#: Offset of the first record of every stream.
 FIRST_OFFSET = Offset(0)
 
 
 class NodePhase(Enum):
-    """Where the node stands in its own life."""
+    """Phase of the node's process, from start to stop."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -66,16 +66,16 @@
 
 @dataclass(slots=True)
 class StreamPosition:
-    """How far a stream has been folded.
+    """Progress of this node in folding a stream of the log.
 
     Attributes
     ----------
-    next : int
+    next : Offset
         Offset of the next record to fold.
     caught_up : bool
-        Whether the end of the stream has been seen once.
+        Whether this node has read the stream to its end at least once.
     read_at : float
-        Monotonic time of the last answer from the log itself.
+        Monotonic time of the last successful read from the log.
     failed_at : float
         Monotonic time of the last failure.
     """
@@ -87,20 +87,22 @@
 
     @property
     def available(self) -> bool:
-        """Return whether the last contact with the log succeeded."""
+        """Return whether the last call to the log succeeded."""
         return self.read_at > self.failed_at
 
 
 @dataclass(slots=True)
 class TeamUsage:
-    """What a team uses of this node right now.
+    """Current usage of this node by one team.
 
     Attributes
     ----------
+    running, queued : int
+        Numbers of the team's running and queued requests.
     served : float
-        Work given to the team divided by its priority, for fair shares.
+        Work served to the team divided by its priority, for fair sharing.
     retry_tokens : float
-        What is left of the team's retry budget.
+        Remaining retry budget of the team.
     """
 
     running: int = 0
@@ -116,13 +118,15 @@
     Attributes
     ----------
     call : CallId
-        The thread that waits for the verdict.
+        The call that waits for the result.
+    subject : str
+        Name of the template or deployment to change.
     until : float
-        Monotonic time after which it is told that there is none.
+        Monotonic time at which the call is answered without a result.
     body : dict or None
         New value of the subject; None removes it.
     resendable : bool
-        Whether it may be sent again if it loses to an earlier change.
+        Whether the change can be sent again if it loses to an earlier change.
     """
 
     call: CallId
@@ -134,14 +138,16 @@
 
 @dataclass(slots=True)
 class HandoverState:
-    """A handover that this node, which is leaving, has begun.
+    """The handover from this node, which is leaving, to its successor.
 
     Attributes
     ----------
+    peer : str
+        Address of the successor.
     message : HandoverMessage
-        Sent again until it is acknowledged.
+        The message, resent until the successor acknowledges it.
     next_send_at : float
-        Monotonic time of the next repetition.
+        Monotonic time at which the message is sent next.
     """
 
     successor: NodeId
@@ -153,38 +159,52 @@
 
 @dataclass(slots=True)
 class World:
-    """Tables of one node, owned by its tick thread.
+    """Tables of one node, used only by its tick thread.
 
     Attributes
     ----------
+    rng : Random
+        Source of every random choice of the systems.
+    me : Member
+        This node's own row.
     collecting : list of Record
-        Configuration records read so far by a node that has no base yet.
+        Configuration records read so far, until they include a snapshot to start from.
+    endpoints : dict of EndpointId to Endpoint
+        Endpoints by id.
     leases : dict of str to Lease
-        By duty, as folded from the log.
+        Leases in force by duty, folded from the log.
     lease_requests : dict of RecordId to LeaseRequest
         Lease records that this node has sent.
     queue : list of RequestId
-        Requests that may run and wait for an endpoint.
+        Requests that can run and wait for an endpoint.
+    claims : dict of TeamKey to Claim
+        Claims in force, folded from the log.
     key_executions : dict of TeamKey to KeyExecution
-        Keys that this process may run, or has run.
+        Keys that this process can run, or has run.
     claiming : set of RequestId
         Requests whose claim is on the way to the log.
-    ask_again : dict of RequestId to float
-        Requests whose key runs elsewhere, and when to ask again.
-    sent_copies, held_copies : dict
-        Copies of deferred requests at peers, and of peers' requests here.
+    next_query_at : dict of RequestId to float
+        Requests whose key is running at another node, with the monotonic time of the
+        next query to that node.
+    sent_copies : dict of RequestId to SentCopy
+        Copies of this node's deferred requests at peers.
+    held_copies : dict of RequestId to HeldCopy
+        Copies of peers' deferred requests at this node.
     duplicates : dict of RequestId to list of RequestId
-        Requests that wait for another request's outcome.
+        Requests that wait for the outcome of another request, by that request.
     notified_domains : dict of DomainId to float
-        Failure domains under notice, and until when they are avoided.
+        Failure domains with a reclaim notice, with the monotonic time until which
+        they are avoided.
     inherited_incarnations : dict of Incarnation to float
-        Incarnations that left and gave their tickets to this node, and when.
+        Incarnations that left and handed their tickets to this node, with the
+        monotonic time of the handover.
     refuse_from : float
-        Monotonic time from which a leaving node takes no new requests.
+        Monotonic time from which a leaving node rejects new requests.
     kept_answers, kept_bytes : int
-        Answers kept for repetitions and for later, as of the last sweep.
+        Number and size of the answers stored for repetitions and for deferred
+        requests, at the last sweep.
     log_clock : float or None
-        The log's time of day less this process's monotonic time.
+        The log's time of day minus this process's monotonic time.
     """
 
     settings: NodeSettings
@@ -213,7 +233,7 @@
     claims: dict[TeamKey, Claim] = field(default_factory=dict)
     key_executions: dict[TeamKey, KeyExecution] = field(default_factory=dict)
     claiming: set[RequestId] = field(default_factory=set)
-    ask_again: dict[RequestId, float] = field(default_factory=dict)
+    next_query_at: dict[RequestId, float] = field(default_factory=dict)
     sent_copies: dict[RequestId, SentCopy] = field(default_factory=dict)
     held_copies: dict[RequestId, HeldCopy] = field(default_factory=dict)
     duplicates: dict[RequestId, list[RequestId]] = field(default_factory=dict)
@@ -246,7 +266,7 @@
         now: float,
         seed: int,
     ) -> World:
-        """Return the empty tables of a node that starts.
+        """Return the empty tables of a starting node.
 
         Parameters
         ----------
@@ -255,7 +275,7 @@
         incarnation : Incarnation
             Random id of this run of the process.
         generation : int
-            Orders this run among those of the same node.
+            Orders this run among the runs of the same node.
         now : float
             Monotonic time.
         seed : int
@@ -287,27 +307,27 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Return whether new requests of callers are taken."""
+        """Return whether this node accepts new requests of callers."""
         return self.phase is NodePhase.SERVING and self.me.ready
 
     def epoch(self, now: float) -> int:
-        """Return the ticket epoch, which counts up from the process's start."""
+        """Return the ticket epoch: the epoch lengths since the process's start."""
         return int((now - self.started_at) / self.settings.timing.ticket_epoch_s)
 
     def new_attempt_id(self, request: RequestId) -> AttemptId:
-        """Return an attempt id."""
+        """Return a new attempt id."""
         return AttemptId(f"{request}/{next(self._counter)}")
 
     def new_record_id(self) -> RecordId:
-        """Return a record id."""
+        """Return a new record id."""
         return RecordId(f"{self.incarnation}-{next(self._counter)}")
 
     def team_usage(self, team: TeamId) -> TeamUsage:
-        """Return the row of a team, made if there is none."""
+        """Return the row of a team; create it if there is none."""
         return self.teams.setdefault(team, TeamUsage())
 
     def team_key(self, request: Request) -> TeamKey | None:
-        """Return the request's key within its team, None if it has none."""
+        """Return the request's key within its team; None without a key."""
         if request.key is None:
             return None
         return TeamKey(request.team, IdempotencyKey(request.key))
