--- a/poplarrelay/systems/claiming.py
+++ b/poplarrelay/systems/claiming.py
@@ -55,8 +55,8 @@
 QUERY_INTERVAL_S = 0.1
 #: Seconds after which a caller can retry when the log is unreachable.
 LOG_RETRY_S = 1.0
-#: Share of a request's remaining time that its claim can take. The rest is left to
-#: query the peers if the log does not answer.
+#: Share of a request's remaining time after which its claim times out. The rest is
+#: left to query the peers if the log does not answer.
 CLAIM_SHARE = 0.6
 #: Most peers that are queried about one key while the log is unreachable.
 MAX_QUERIED_PEERS = 16
@@ -149,7 +149,7 @@
 def _may_be_forgotten(world: World, caller_key: CallerKey, now: float) -> bool:
     """Return whether nodes may have forgotten claims as old as the key.
 
-    The age is taken by the log's clock. A host's clock can be set back, and then an
+    The age is measured by the log's clock. A host's clock can be set back, and then an
     old key would look new.
     """
     created_at = caller_key_time(caller_key.key)
--- a/poplarrelay/systems/tests/test_at_most_once.py
+++ b/poplarrelay/systems/tests/test_at_most_once.py
@@ -1,9 +1,9 @@
-"""At most once, whatever fails: a state machine over the systems.
+"""Each idempotency key runs at most once: a state machine over the systems.
 
-A caller sees a booking confirmed, told "not run", or told "unknown". Nodes freeze,
-thaw, crash, start again and leave, the log goes away, answers are lost and actions
-come in any order. No key may ever run twice, and none may run that a caller was told
-had not run: that caller has booked again under another key.
+A caller gets an answer, "not run" or "unknown". Nodes pause, resume, crash, restart and
+leave, the log becomes unavailable, replies are lost, and actions are performed in any
+order. No key may run twice. A key must not run if a caller got "not run" for it,
+because that caller can repeat the work under another key.
 """
 
 from hypothesis import HealthCheck, settings
--- a/poplarrelay/systems/tests/test_copying.py
+++ b/poplarrelay/systems/tests/test_copying.py
@@ -1,4 +1,4 @@
-"""What callers are told of deferred requests survives the crash of their home."""
+"""Results of deferred requests that callers have got survive the owner's crash."""
 
 import pytest
 
@@ -10,7 +10,7 @@
     StoreCopy,
 )
 from poplarrelay.systems.request_copies import MAX_TRIES
-from poplarrelay.systems.request_copies import RETRY_S as ALONE_RETRY_S
+from poplarrelay.systems.request_copies import RETRY_S as COPY_RETRY_S
 from poplarrelay.tables.members import MemberStatus
 from poplarrelay.testing.fakes import FakeSystem
 
@@ -20,8 +20,8 @@
     return FakeSystem()
 
 
-def _pass_on(system, kind, lost=False):
-    """Carry out what waits of a kind, and let the nodes hear of it."""
+def _perform(system, kind, lost=False):
+    """Perform all pending actions of a kind, and tick all nodes."""
     system.perform_all(kind, lost)
     system.tick_all()
 
@@ -34,47 +34,47 @@
     }
 
 
-def _answer_with_copy(system):
-    """Defer a request at the first node, and have its outcome copied."""
+def _finish_with_copied_outcome(system):
+    """Defer a request at n1, run it, and copy its outcome to a peer."""
     deferral = system.defer("n1")
     system.tick_all()
     for kind in (StoreCopy, RunAttempt, StoreCopy):
-        _pass_on(system, kind)
+        _perform(system, kind)
     return deferral
 
 
-def _run_twice_copied(system, deferral):
-    """Let the first peer asked be too late, so that a second one holds the copy too."""
+def _finish_with_stale_copy(system, deferral):
+    """Run a request with two copies: the reply of the first holder is lost."""
     system.tick_all()
-    _pass_on(system, StoreCopy, lost=True)
+    _perform(system, StoreCopy, lost=True)
     (stale,) = _held_by(system, deferral)
-    _pass_on(system, StoreCopy)
-    _pass_on(system, RunAttempt)
+    _perform(system, StoreCopy)
+    _perform(system, RunAttempt)
     (holder,) = _held_by(system, deferral) - {stale}
     return stale, holder
 
 
-def test_request_is_accepted_once_a_peer_has_a_copy(system):
-    # Guards against an accepted request that nobody has after its home's crash.
+def test_request_is_accepted_when_a_peer_has_a_copy(system):
+    # Guards against an accepted request that is lost when its owner crashes.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, RunAttempt)
+    _perform(system, RunAttempt)
     assert not deferral.accepted
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     assert deferral.accepted
     assert deferral.copied
-    # That copy was sent before the request ended.
+    # That copy was sent before the request ended and does not contain the outcome.
     assert system.look_up("n1", deferral) == "running"
 
 
-def test_outcome_is_told_once_a_peer_has_it(system):
-    # Guards against an answer that a caller has fetched and a crash takes back.
+def test_outcome_is_published_when_a_peer_has_it(system):
+    # Guards against an outcome that a caller has fetched and that a crash then loses.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
-    _pass_on(system, RunAttempt)
+    _perform(system, StoreCopy)
+    _perform(system, RunAttempt)
     assert system.look_up("n1", deferral) == "running"
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
     system.crash("n1")
     system.declare_dead("n1")
@@ -84,12 +84,12 @@
     assert deferral.runs == 1
 
 
-def test_outcome_is_told_when_its_confirmation_is_lost(system):
-    # Guards against "running" from the home after the holder has told the outcome.
+def test_outcome_is_returned_by_all_nodes_if_its_confirmation_is_lost(system):
+    # Guards against "running" from the owner after the holder has returned the outcome.
     deferral = system.defer("n1", repeatable=False)
     system.tick_all()
-    _pass_on(system, StoreCopy)
-    _pass_on(system, RunAttempt)
+    _perform(system, StoreCopy)
+    _perform(system, RunAttempt)
     system.perform_all(StoreCopy, lost=True)
     (holder,) = _held_by(system, deferral)
     assert system.look_up(holder, deferral) == "answered"
@@ -97,65 +97,66 @@
         assert system.look_up(name, deferral) == "answered"
 
 
-def test_outcome_is_told_where_no_peer_takes_it():
-    # Guards against a ready answer that is held back while peer after peer is asked.
+def test_outcome_is_published_if_no_peer_stores_a_copy():
+    # Guards against an outcome that stays unpublished while many peers are tried.
     system = FakeSystem(("n1", "n2", "n3", "n4", "n5", "n6"))
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     for name in system.nodes.keys() - {"n1"}:
         system.crash(name)
-    _pass_on(system, RunAttempt)
+    _perform(system, RunAttempt)
     for _ in range(MAX_TRIES):
-        _pass_on(system, StoreCopy)
+        _perform(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
 
 
-def test_single_node_answers_at_once():
-    # Guards against a wait for peers where there are none.
+def test_single_node_publishes_outcomes_at_once():
+    # Guards against a wait for peers when there are none.
     system = FakeSystem(("n1",))
     deferral = system.defer("n1")
     system.tick_all()
     assert deferral.accepted
-    _pass_on(system, RunAttempt)
+    _perform(system, RunAttempt)
     assert system.look_up("n1", deferral) == "answered"
 
 
-def test_peers_that_failed_are_not_asked_again_at_once(system):
-    # Guards against a second try at the very peer that has just not answered.
+def test_failed_peers_are_not_sent_a_copy_again_at_once(system):
+    # Guards against a second attempt at the peer that has just failed to reply.
     deferral = system.defer("n1")
-    asked = []
+    peers = []
     for _ in range(2):
         system.tick_all()
-        asked += [
+        peers += [
             a.effect.peer for a in system.actions if isinstance(a.effect, StoreCopy)
         ]
-        _pass_on(system, StoreCopy, lost=True)
-    assert len(set(asked)) == 2
+        _perform(system, StoreCopy, lost=True)
+    assert len(set(peers)) == 2
     assert deferral.accepted
     assert not deferral.copied
-    system.now += ALONE_RETRY_S
+    system.now += COPY_RETRY_S
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     assert system.nodes["n1"].world.sent_copies[deferral.id].holder is not None
 
 
-def test_leaving_node_still_has_requests_copied(system):
-    # Guards against a caller that waits for ever at a node that is leaving.
+def test_leaving_node_still_sends_copies(system):
+    # Guards against a caller that never gets its acceptance from a leaving node.
     system.leave("n1", 30.0)
     system.tick_all()
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     assert deferral.accepted
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
 def test_stale_copy_is_not_taken_over(system, repeatable):
-    # Guards against a second run, and a withdrawn answer, from a peer's old copy.
+    # Guards against a takeover from a stale copy after the owner's crash. The work
+    # would run twice, or a fetched outcome would change.
     deferral = system.defer("n1", repeatable)
-    stale, holder = _run_twice_copied(system, deferral)
-    _pass_on(system, StoreCopy)
+    stale, holder = _finish_with_stale_copy(system, deferral)
+    _perform(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
     system.crash("n1")
     for name in (stale, holder):
@@ -167,12 +168,12 @@
     assert deferral.runs == 1
 
 
-def test_search_goes_on_after_a_stale_copy():
-    # Guards against "running" from an old copy while the next peer has the answer.
+def test_search_continues_after_a_stale_copy():
+    # Guards against "running" from a stale copy while the next peer has the outcome.
     system = FakeSystem(("n1", "n2", "n3", "n4"))
     deferral = system.defer("n1")
-    stale, holder = _run_twice_copied(system, deferral)
-    _pass_on(system, StoreCopy)
+    stale, holder = _finish_with_stale_copy(system, deferral)
+    _perform(system, StoreCopy)
     (other,) = set(system.nodes) - {"n1", stale, holder}
     system.crash("n1")
     assert system.look_up(other, deferral) == "answered"
@@ -180,12 +181,12 @@
     assert system.look_up(other, deferral) == "not_known"
 
 
-def test_search_is_not_complete_without_peers_that_are_dead():
-    # Guards against a final "no such request" while its holder may only be frozen.
+def test_search_is_incomplete_while_peers_are_declared_dead():
+    # Guards against a final "no such request" while its holder may be only paused.
     system = FakeSystem(("n1", "n2", "n3", "n4"))
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     (holder,) = _held_by(system, deferral)
     system.freeze(holder)
     for name in ("n1", holder):
@@ -196,22 +197,22 @@
         assert system.look_up(name, deferral) == "not_known"
 
 
-def test_restarted_node_without_peers_does_not_know(system):
-    # Guards against a final "no such request" from a node that knows nobody yet.
+def test_restarted_node_without_members_returns_not_known(system):
+    # Guards against a final "no such request" from a node that has no member rows yet.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     system.crash("n3")
     system.start("n3")
     assert system.look_up("n3", deferral) == "not_known"
 
 
 def test_newest_copy_is_taken_over_once(system):
-    # Guards against two peers that both run a request after its home's crash.
+    # Guards against two holders that both run a request after its owner's crash.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy, lost=True)
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy, lost=True)
+    _perform(system, StoreCopy)
     assert len(_held_by(system, deferral)) == 2
     system.crash("n1")
     system.declare_dead("n1")
@@ -221,11 +222,11 @@
         assert system.look_up(name, deferral) == "answered"
 
 
-def test_holder_waits_for_a_peer_that_may_know_more(system):
-    # Guards against a takeover while a frozen peer has the answer.
+def test_holder_waits_for_a_peer_that_may_have_the_outcome(system):
+    # Guards against a takeover while a paused peer has the outcome.
     deferral = system.defer("n1")
-    stale, holder = _run_twice_copied(system, deferral)
-    _pass_on(system, StoreCopy)
+    stale, holder = _finish_with_stale_copy(system, deferral)
+    _perform(system, StoreCopy)
     system.crash("n1")
     system.freeze(holder)
     system.nodes[stale].world.members[NodeId("n1")].status = MemberStatus.DEAD
@@ -239,23 +240,23 @@
 
 
 def test_old_copy_does_not_replace_a_newer_one(system):
-    # Guards against a copy that was stuck in a socket and arrives after the answer's.
+    # Guards against a delayed copy that arrives after the copy with the outcome.
     deferral = system.defer("n1")
     system.tick_all()
     (late,) = [a for a in system.actions if isinstance(a.effect, StoreCopy)]
-    _pass_on(system, StoreCopy)
-    _pass_on(system, RunAttempt)
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
+    _perform(system, RunAttempt)
+    _perform(system, StoreCopy)
     (holder,) = _held_by(system, deferral)
     system.actions.append(late)
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     held = system.nodes[holder].world.held_copies[deferral.id]
     assert held.request.outcome is not None
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_copy_of_a_process_that_is_not_known_yet_is_kept(system, known):
-    # Guards against a takeover before the news of a restarted home has come.
+def test_copy_is_held_before_gossip_about_its_sender_arrives(system, known):
+    # Guards against a takeover before the gossip about a restarted owner arrives.
     system.crash("n1")
     system.now += 2.0
     system.start("n1")
@@ -265,19 +266,20 @@
             system.nodes[name].world.members.pop(NodeId("n1"))
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     for _ in range(3):
         system.tick_all()
-        _pass_on(system, QueryCopies)
+        _perform(system, QueryCopies)
     assert len(_held_by(system, deferral)) == 1
     assert system.look_up("n1", deferral) == "running"
 
 
-def test_home_that_was_taken_for_dead_follows_its_successor(system):
-    # Guards against two homes that tell a caller different things.
+def test_owner_that_was_declared_dead_adopts_the_outcome(system):
+    # Guards against two owners that return different outcomes: the resumed owner, and
+    # the peer that took the request over.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     system.freeze("n1")
     system.declare_dead("n1")
     system.settle(10)
@@ -285,23 +287,23 @@
     system.thaw("n1")
     system.introduce_all()
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
     system.settle(10)
     for name in system.nodes:
         assert system.look_up(name, deferral) == "answered"
 
 
-def test_outcome_of_work_that_a_leaving_node_gives_up_is_handed_over(system):
-    # Guards against a request that looks as if it ran for ever after its home has left.
+def test_outcome_of_work_that_a_leaving_node_ends_is_handed_over(system):
+    # Guards against a request that stays "running" forever after its owner has left.
     deferral = system.defer("n1", repeatable=False)
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     system.leave("n1", 5.0)
     system.tick_all()
     system.now += 4.0
     system.tick_all()
-    _pass_on(system, SendHandover)
+    _perform(system, SendHandover)
     system.introduce_all()
     system.tick_all()
     for name in ("n2", "n3"):
@@ -309,39 +311,40 @@
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_two_homes_do_not_leave_a_request_to_each_other(system, first):
-    # Guards against a request that nobody runs after a holder was taken for dead.
+def test_two_owners_do_not_leave_a_request_to_each_other(system, first):
+    # Guards against a request that no node runs. A holder took it over and was declared
+    # dead, another peer took it over too, and both send each other a copy.
     deferral = system.defer("n1")
     system.tick_all()
-    _pass_on(system, StoreCopy)
+    _perform(system, StoreCopy)
     (holder,) = _held_by(system, deferral)
     system.crash("n1")
     system.declare_dead("n1")
     for kind in (QueryCopies, StoreCopy):
         system.tick_all()
-        _pass_on(system, kind)
+        _perform(system, kind)
     system.freeze(holder)
     system.declare_dead(holder)
     system.tick_all()
     system.thaw(holder)
     system.introduce_all()
-    system.now += ALONE_RETRY_S
+    system.now += COPY_RETRY_S
     system.tick_all()
     sent = [a for a in system.actions if isinstance(a.effect, StoreCopy)]
     assert len({action.node.name for action in sent}) == 2
     system.perform(sent[first])
     system.perform(sent[1 - first])
     system.tick_all()
-    homes = [n for n in system.nodes.values() if deferral.id in n.world.requests]
-    assert len([node for node in homes if node.answers]) == 1
+    owners = [n for n in system.nodes.values() if deferral.id in n.world.requests]
+    assert len([node for node in owners if node.answers]) == 1
     system.settle(10)
     for name in ("n2", "n3"):
         assert system.look_up(name, deferral) == "answered"
 
 
-def test_unknown_while_a_holder_is_suspected(system):
-    # Guards against a final "no such request" while a suspected peer has the answer.
-    deferral = _answer_with_copy(system)
+def test_lookup_returns_not_known_while_a_holder_is_suspect(system):
+    # Guards against a final "no such request" while a suspect peer has the outcome.
+    deferral = _finish_with_copied_outcome(system)
     (holder,) = _held_by(system, deferral)
     (other,) = set(system.nodes) - {"n1", holder}
     system.crash("n1")
@@ -353,8 +356,8 @@
 
 
 def test_request_is_found_while_it_is_handed_over(system):
-    # Guards against a final "no such request" between two homes.
-    deferral = _answer_with_copy(system)
+    # Guards against a final "no such request" during the handover to the successor.
+    deferral = _finish_with_copied_outcome(system)
     for name in ("n2", "n3"):
         system.nodes[name].world.held_copies.clear()
     system.leave("n1", 5.0)
--- a/poplarrelay/systems/tests/test_deferred_machine.py
+++ b/poplarrelay/systems/tests/test_deferred_machine.py
@@ -1,9 +1,10 @@
-"""Deferred requests while nodes freeze, crash and are taken for dead: a state machine.
+"""Deferred requests while nodes pause, crash and are declared dead: a state machine.
 
-Answers between nodes are lost and actions come in any order. What a caller has fetched
-is never taken back, an accepted request is never said not to exist, work that must not
-be repeated runs once, and in the end each request that a peer had a copy of has its
-outcome at every node. One node at most crashes: a second crash may take the only copy.
+Replies between nodes are lost, and actions are performed in any order. An outcome that
+a caller has fetched never changes. A lookup of an accepted request never returns that
+it does not exist. Work that must not be repeated runs once. At the end, every node
+returns the outcome of each request that had a copy at a peer. At most one node crashes,
+because a second crash could lose the only copy.
 """
 
 from hypothesis import HealthCheck, settings
@@ -75,11 +76,11 @@
         self.crashed = node
         self.system.crash(node)
         for deferral in self.system.deferrals.values():
-            if deferral.home == node and not self._kept_elsewhere(node, deferral):
+            if deferral.home == node and not self._has_confirmed_copy(node, deferral):
                 self.exempt.add(deferral.id)
 
-    def _kept_elsewhere(self, node, deferral):
-        """Return whether the crash of a node leaves a confirmed copy behind."""
+    def _has_confirmed_copy(self, node, deferral):
+        """Return whether a confirmed copy remains if the node crashes."""
         copy = self.system.nodes[node].world.sent_copies.get(deferral.id)
         return copy is None or (copy.holder is not None and not copy.in_flight)
 
@@ -102,12 +103,12 @@
     def _check(self, node, deferral):
         if not deferral.accepted or deferral.id in self.exempt:
             return
-        word = self.system.look_up(node, deferral)
+        state = self.system.look_up(node, deferral)
         if deferral.told is not None:
-            assert word in (deferral.told, "not_known"), (node, word, deferral)
-        elif word not in OPEN:
-            assert word != "absent", (node, deferral)
-            deferral.told = word
+            assert state in (deferral.told, "not_known"), (node, state, deferral)
+        elif state not in OPEN:
+            assert state != "absent", (node, deferral)
+            deferral.told = state
 
     @invariant()
     def work_that_must_not_be_repeated_runs_once(self):
@@ -123,14 +124,14 @@
         self.system.settle(20)
         for deferral in self.system.deferrals.values():
             if deferral.accepted and deferral.id not in self.exempt:
-                self._end(deferral)
+                self._check_outcome(deferral)
 
-    def _end(self, deferral):
+    def _check_outcome(self, deferral):
         for name in NAMES:
             if self._running(name):
-                word = self.system.look_up(name, deferral)
-                assert word not in ("absent", *OPEN), (name, word, deferral)
-                assert deferral.told in (None, word), (name, word, deferral)
+                state = self.system.look_up(name, deferral)
+                assert state not in ("absent", *OPEN), (name, state, deferral)
+                assert deferral.told in (None, state), (name, state, deferral)
 
 
 TestDeferredRequests = DeferredRequests.TestCase
--- a/poplarrelay/systems/tests/test_safeguards.py
+++ b/poplarrelay/systems/tests/test_safeguards.py
@@ -1,6 +1,6 @@
 """One test for each safeguard of the at-most-once rule.
 
-`bench.safeguards` removes each safeguard in turn and shows which of these fails.
+`bench.safeguards` removes each safeguard in turn and shows which of these tests fail.
 """
 
 from dataclasses import replace
@@ -38,17 +38,17 @@
 
 
 def _win_claim(system):
-    """Let the claim of the first node's request be ordered and read back."""
+    """Append the claim of the request at n1 to the log, and let n1 read it."""
     system.tick_all()
     system.perform_all(AppendRecord)
     system.read_log("n1")
     system.tick("n1")
 
 
-def test_two_nodes_race_for_one_key(system):
-    # The caller sends the same booking to two nodes at once. Both claim it before
-    # either has read the other's claim; the first in the log wins on both, and the
-    # other node gets the answer from the winner.
+def test_key_claimed_by_two_nodes_runs_once(system):
+    # The caller sends the same booking to two nodes at the same time. Both claim the
+    # key before they read the other claim. The first claim in the log wins on both
+    # nodes, and the other node gets the answer from the winner.
     first, second = system.submit("n1", "seat"), system.submit("n2", "seat")
     system.tick_all()
     system.perform_all(AppendRecord)
@@ -60,8 +60,8 @@
 
 
 def test_late_claim_of_a_second_node_does_not_replace_the_first(system):
-    # The winner has run the booking already when the second claim, sent before the
-    # first was read, reaches the log.
+    # The second node sends its claim before it reads the first one. That claim reaches
+    # the log after the winner has run the booking.
     system.submit("n1", "seat")
     system.submit("n2", "seat")
     system.tick_all()
@@ -78,9 +78,9 @@
     assert not system.violations
 
 
-def test_lost_append_answer_is_sent_again_and_wins_once(system):
-    # The claim is in the log, its answer is lost, and it is appended again under the
-    # same record id. The repetition replaces nothing.
+def test_claim_appended_twice_wins_once(system):
+    # The claim is in the log, but the log's reply is lost. The claim is appended again
+    # with the same record id, and the second record must not come into force.
     submission = system.submit("n1", "seat")
     system.tick_all()
     system.perform_all(AppendRecord, lost=True)
@@ -90,8 +90,8 @@
 
 
 def test_restarted_process_does_not_run_its_predecessors_claim(system):
-    # The node claims, runs and crashes before it answers. The caller asks the
-    # process that took its place: it cannot know what ran, and says so.
+    # The node claims the key, runs it and crashes before it answers. The caller sends
+    # the key to the restarted process, which cannot tell whether the booking ran.
     system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
@@ -106,9 +106,9 @@
     assert isinstance(again.outcomes[0], Unknown)
 
 
-def test_frozen_holder_makes_the_key_unknown(system):
-    # The holder is frozen after it has won its claim. Another node asks it, gets no
-    # answer, and neither runs the booking nor says that it was not run.
+def test_key_of_a_frozen_holder_is_unknown(system):
+    # The holder is paused after its claim has won. Another node gets no reply from it,
+    # and must neither run the booking nor return "not run".
     system.submit("n1", "seat")
     _win_claim(system)
     system.freeze("n1")
@@ -121,9 +121,9 @@
     assert not system.violations
 
 
-def test_thawed_node_does_not_run_what_its_caller_gave_up(system):
-    # The node is frozen between its decision and the first byte, for longer than
-    # the deadline. Thawed, it must not send.
+def test_thawed_node_does_not_run_a_request_past_its_deadline(system):
+    # The node is paused after it has decided to send the attempt, until after the
+    # deadline. When it resumes, it must not send the attempt.
     submission = system.submit("n1", system.ticket("n1", "a"), timeout_s=2.0)
     system.tick_all()
     assert _kinds(system) == [RunAttempt]
@@ -134,10 +134,10 @@
     assert system.runs[submission.key] == 0
 
 
-def test_request_read_after_a_freeze_came_before_it(system):
-    # The caller sends a booking to a frozen node, gives it up, and is told "not run"
-    # by another one. Thawed, the first node finds the request in its socket buffer.
-    # Its caller may hold the same seat under a new key by then.
+def test_request_read_after_a_freeze_counts_from_its_arrival(system):
+    # The caller sends a booking to a paused node, stops waiting, and gets "not run"
+    # from another node. The paused node resumes and reads the request from its socket
+    # buffer. The caller may already have the same seat under a new key.
     system.freeze("n2")
     system.submit("n2", "seat", timeout_s=30.0)
     system.now += 1.0
@@ -158,10 +158,10 @@
     assert not system.violations
 
 
-def test_release_binds_requests_that_came_before_it(system):
-    # Two nodes hold the same booking. The one that has the claim gives it up before
-    # it ran and tells its caller "not run". The other one, which waits for it, came
-    # earlier and must end as well: its caller may hold the same seat under a new key.
+def test_release_ends_requests_that_arrived_before_it(system):
+    # Two nodes have the same booking. The node with the claim releases it before the
+    # booking ran and returns "not run". The request at the other node arrived before
+    # that, so it must end too: the caller may already have the seat under a new key.
     system.submit("n1", "seat", timeout_s=4.0)
     system.submit("n2", "seat", timeout_s=30.0)
     system.tick_all()
@@ -182,9 +182,9 @@
     assert not system.violations
 
 
-def test_log_outage_asks_the_peers_before_it_says_not_run(system):
-    # One node has run the booking; the other one has not read the claim and cannot,
-    # because the log is away. It must not say "not run".
+def test_log_outage_does_not_end_a_run_key_as_not_run(system):
+    # One node has run the booking. The other node has not read the claim and cannot
+    # read it in the outage. It must query the peers and not return "not run".
     system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
@@ -200,8 +200,8 @@
 
 
 def test_log_outage_ends_a_new_key_as_not_run_at_once(system):
-    # Nobody has seen the key and all peers say so, so the caller is told "not run"
-    # and when to come back, without waiting for its deadline.
+    # All peers reply that they do not have the key. The caller gets "not run" with a
+    # time to retry after, before its deadline.
     system.log.up = False
     for name in system.nodes:
         system.read_log(name)
@@ -215,6 +215,8 @@
 
 
 def test_log_outage_with_a_peer_that_does_not_answer_is_unknown(system):
+    # A paused peer does not answer and may have run the key. The caller must not get
+    # "not run".
     system.log.up = False
     for name in system.nodes:
         system.read_log(name)
@@ -225,10 +227,10 @@
     assert isinstance(submission.outcomes[0], Unknown)
 
 
-def test_restarted_peer_does_not_vouch_for_its_predecessor(system):
-    # A node claims and runs a booking, crashes, and starts again while the log is
-    # away. Asked by another node, the new process knows nothing of the key; that
-    # must not count as "nobody has run it".
+def test_restarted_peer_does_not_make_its_predecessors_key_not_run(system):
+    # A node claims and runs a booking, crashes, and restarts while the log is
+    # unavailable. The new process has no state of the key. Another node that queries
+    # it must not return "not run".
     system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
@@ -245,9 +247,9 @@
     assert not system.violations
 
 
-def test_claim_that_comes_into_force_late_is_not_used(system):
-    # The log is slow: the caller has been told how its request ended before the
-    # claim can be read. The claim then comes into force, and nothing may run.
+def test_claim_that_wins_after_its_request_has_ended_is_not_used(system):
+    # The log is slow: the caller gets the outcome of its request before the claim can
+    # be read. The claim then comes into force, but the booking must not run.
     submission = system.submit("n1", "seat", timeout_s=1.0)
     system.tick_all()
     system.perform_all(AppendRecord)
@@ -259,9 +261,9 @@
     assert not system.violations
 
 
-def test_key_that_was_given_up_can_be_presented_again(system):
-    # The first request ended before its claim could be read. The caller comes back
-    # with the same key, as it was told to, and now the booking runs.
+def test_key_whose_request_ended_while_claiming_can_be_used_again(system):
+    # The first request ends before its claim can be read. The caller retries with the
+    # same key, and the booking runs.
     system.submit("n1", "seat", timeout_s=1.0)
     system.tick_all()
     system.now += 3.0
@@ -276,8 +278,8 @@
 
 
 def test_deadline_while_claiming_is_unknown(system):
-    # Another node has run the key; this one is still waiting to read its claim when
-    # the deadline passes.
+    # Another node has run the key. This node still waits for its own claim when the
+    # deadline passes, and must not return "not run".
     system.submit("n1", "seat")
     _win_claim(system)
     system.perform_all(RunAttempt)
@@ -290,7 +292,8 @@
 
 
 def test_broken_attempt_is_not_sent_again(system):
-    # The desk runs the booking and its answer is lost.
+    # The service runs the booking and its answer is lost. A second attempt could run
+    # the booking twice.
     submission = system.submit("n1", system.ticket("n1", "a"))
     system.tick_all()
     system.perform_all(RunAttempt, lost=True)
@@ -300,7 +303,7 @@
 
 
 def test_refused_attempt_is_sent_again(system):
-    # No byte reached the desk, so another attempt does no harm.
+    # No byte reached the service, so a second attempt cannot run the booking twice.
     submission = system.submit("n1", system.ticket("n1", "a"))
     system.tick_all()
     system.refuse_attempt(system.actions[0])
@@ -309,8 +312,8 @@
     assert isinstance(submission.outcomes[0], Answered)
 
 
-def test_attempt_that_outlives_its_deadline_is_unknown(system):
-    # The attempt has been sent and nothing comes back. It may have run.
+def test_attempt_without_answer_at_its_deadline_is_unknown(system):
+    # The attempt was sent and no answer arrives, so the booking may have run.
     submission = system.submit("n1", system.ticket("n1", "a"), timeout_s=2.0)
     system.tick_all()
     system.actions.clear()
@@ -319,7 +322,9 @@
     assert isinstance(submission.outcomes[0], Unknown)
 
 
-def test_ticket_at_another_node_is_sent_to_its_home(system):
+def test_ticket_at_another_node_is_forwarded_to_its_owner(system):
+    # Two nodes receive the same ticket. If either ran it itself, the booking could run
+    # twice.
     ticket = system.ticket("n1", "a")
     one, other = system.submit("n2", ticket), system.submit("n3", ticket)
     system.tick_all()
@@ -331,6 +336,7 @@
 
 
 def test_ticket_runs_in_a_log_outage(system):
+    # A ticket needs no claim, so its owner must run it without the log.
     system.log.up = False
     for name in system.nodes:
         system.read_log(name)
@@ -340,7 +346,9 @@
     assert isinstance(submission.outcomes[0], Answered)
 
 
-def test_restarted_home_does_not_run_an_old_ticket(system):
+def test_restarted_owner_does_not_run_an_old_ticket(system):
+    # The owner crashes after the booking ran. The restarted process has no outcome of
+    # the ticket and must not run it again.
     ticket = system.ticket("n1", "a")
     system.submit("n1", ticket)
     system.tick_all()
@@ -355,7 +363,8 @@
 
 
 def test_expired_ticket_is_unknown_and_never_run(system):
-    # What ran under the ticket may have been forgotten.
+    # The owner may have removed the outcome of an expired ticket, so it cannot tell
+    # whether the ticket ran.
     ticket = system.ticket("n1", "a")
     system.submit("n1", ticket)
     system.settle()
@@ -370,8 +379,10 @@
 
 
 def test_ticket_of_a_later_epoch_is_refused(system):
-    home = system.nodes["n1"].world
-    ticket = f"t1.n1.{home.incarnation}.99.a"
+    # The owner has not reached the ticket's epoch, so the system did not issue the
+    # ticket. The request is rejected as malformed.
+    owner_world = system.nodes["n1"].world
+    ticket = f"t1.n1.{owner_world.incarnation}.99.a"
     submission = system.submit("n1", ticket)
     system.tick_all()
     assert submission.outcomes == []
@@ -386,9 +397,9 @@
         system.now += 0.3
 
 
-def test_handover_gives_up_tickets_before_it_is_sent(system):
-    # The node has handed its tickets over, and the acknowledgement is lost. It must
-    # not run a ticket any more, because its successor may.
+def test_node_does_not_run_tickets_after_it_has_sent_a_handover(system):
+    # The node has handed over its tickets, and the acknowledgement is lost. It must not
+    # run a ticket, because its successor can run it.
     ticket = system.ticket("n1", "a")
     system.submit("n1", system.ticket("n1", "first"))
     system.settle(2)
@@ -396,8 +407,8 @@
     assert SendHandover in _kinds(system)
     system.perform_all(SendHandover, lost=True)
     successor = system.nodes["n1"].world.handover.successor
-    home = system.nodes[successor].world
-    assert system.nodes["n1"].world.incarnation in home.inherited_incarnations
+    owner_world = system.nodes[successor].world
+    assert system.nodes["n1"].world.incarnation in owner_world.inherited_incarnations
     system.submit("n1", ticket)
     system.tick_all()
     system.submit(successor, ticket)
@@ -406,7 +417,9 @@
     assert not system.violations
 
 
-def test_lost_acknowledgement_is_resent_to_the_same_successor(system):
+def test_unacknowledged_handover_is_resent_to_the_same_successor(system):
+    # The acknowledgement of a handover is lost. A second successor would run the same
+    # tickets as the first one.
     system.submit("n1", system.ticket("n1", "first"))
     system.settle(2)
     _leave(system)
@@ -417,15 +430,17 @@
     system.perform_all(SendHandover)
     system.tick("n1")
     assert system.nodes["n1"].world.me.successor == successor
-    adopters = [
+    successors = [
         node.name
         for node in system.nodes.values()
         if system.nodes["n1"].world.incarnation in node.world.inherited_incarnations
     ]
-    assert adopters == [successor]
+    assert successors == [successor]
 
 
-def test_successor_answers_for_what_ran_before_the_handover(system):
+def test_successor_returns_outcomes_from_before_the_handover(system):
+    # A ticket ran at a node that has left. Without the outcome that was handed over,
+    # the successor would run the ticket again.
     ticket = system.ticket("n1", "first")
     first = system.submit("n1", ticket)
     system.settle(2)
@@ -443,8 +458,8 @@
 
 
 def test_forward_that_arrives_late_is_not_run(system):
-    # A ticket was sent on to its home and got stuck on the way. Meanwhile the caller
-    # asked the home itself and was told "not run". The late one must not run.
+    # A ticket is forwarded to its owner and delayed on the way. Meanwhile the caller
+    # sends it to the owner itself and gets "not run". The forward must not run.
     ticket = system.ticket("n1", "a")
     system.submit("n2", ticket, timeout_s=30.0)
     system.tick("n2")
@@ -465,7 +480,9 @@
     assert not system.violations
 
 
-def test_node_that_is_not_ready_does_not_say_not_run_for_a_key(system):
+def test_node_that_is_not_ready_does_not_return_not_run_for_a_key(system):
+    # Another node has run the key. A node that has no configuration rejects the request
+    # without resolving the key, so it cannot return "not run".
     system.submit("n1", "seat")
     system.settle()
     system.nodes["n2"].world.me.ready = False
@@ -475,9 +492,9 @@
     assert isinstance(again.outcomes[0], Unknown)
 
 
-def test_log_clock_set_forward_does_not_forget_claims(system):
-    # The log's clock is set far forward when a claim of before is read. The node must
-    # remember the claim all the same, or the key could run again.
+def test_log_clock_set_forward_does_not_expire_claims(system):
+    # The log's clock is set far forward when an older claim is read. If the node
+    # expired the claim by that clock, the key could run again.
     system.submit("n1", "seat")
     system.settle()
     system.crash("n1")
@@ -496,9 +513,9 @@
     assert isinstance(again.outcomes[0], Unknown)
 
 
-def test_successor_answers_for_a_claim_of_a_node_that_left(system):
-    # A plain key was released before its home left. Presented at the successor, it
-    # is claimed anew and runs.
+def test_successor_runs_a_key_released_by_a_node_that_left(system):
+    # A node releases a caller key and leaves. The caller sends the key to the
+    # successor, which claims it again and runs it.
     system.submit("n1", "seat", timeout_s=3.0)
     _win_claim(system)
     for _ in range(8):
@@ -519,9 +536,9 @@
     assert isinstance(again.outcomes[0], Answered)
 
 
-def test_full_memory_refuses_new_keys_and_forgets_none(system):
-    # No more answers can be kept. A new ticket is refused, and a repetition of an
-    # old one still gets its answer.
+def test_full_answer_store_refuses_new_keys_and_keeps_old_ones(system):
+    # The node cannot store more answers. It rejects a new ticket, and still returns the
+    # answer of an old ticket to a repetition.
     ticket = system.ticket("n1", "old")
     first = system.submit("n1", ticket)
     system.settle()
@@ -535,7 +552,9 @@
     world.kept_answers = 0
 
 
-def test_repetition_while_it_runs_joins(system):
+def test_repeated_request_joins_the_running_one(system):
+    # The caller repeats a request while its attempt is running. A second attempt would
+    # run the booking twice.
     ticket = system.ticket("n1", "a")
     first = system.submit("n1", ticket)
     system.tick_all()
@@ -546,8 +565,8 @@
     assert first.outcomes == again.outcomes
 
 
-def test_question_about_a_running_key_waits_for_its_answer(system):
-    # The second node learns of the first one's claim and asks it until it has ended.
+def test_request_for_a_key_running_elsewhere_waits_for_its_outcome(system):
+    # The second node reads the first node's claim and queries it until the key ends.
     first = system.submit("n1", "seat")
     system.tick_all()
     system.perform_all(AppendRecord)
