--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -192,7 +192,7 @@
     def given_up(arrived, not_run, unknown):
         return NotRun(not_run)
 
-    _patch(stack, admitting, "_given_up", given_up)
+    _patch(stack, admitting, "_unchecked_outcome", given_up)
 
 
 def without_freeze_clock(stack: ExitStack) -> None:
--- a/poplarrelay/systems/admitting.py
+++ b/poplarrelay/systems/admitting.py
@@ -1,4 +1,4 @@
-"""Admit requests: team, deployment, limits, deadline."""
+"""Admit requests: check their team, deployment, limits and deadline."""
 
 from __future__ import annotations
 
@@ -39,14 +39,15 @@
 
 __all__ = ["admit_requests", "cancel_abandoned", "effective_rank", "team_of"]
 
-#: Seconds that a caller is told to wait before it asks another node.
-ELSEWHERE_RETRY_S = 0.2
-#: Share of its time after which a waiting request is served as if urgent.
+#: Seconds that a caller waits before it retries at another node.
+OTHER_NODE_RETRY_S = 0.2
+#: Fraction of the time from arrival to deadline after which a waiting request is
+#: served as if it were urgent.
 PROMOTION_SHARE = 0.5
 
 
 def team_of(world: World, token_sha256: str) -> TeamId:
-    """Return the team that a token names.
+    """Return the team that a token belongs to.
 
     Raises
     ------
@@ -80,7 +81,7 @@
         timeout = min(timeout, arrived.timeout_s)
     work = _checked_work(policy, arrived.work)
     if arrived.key is not None:
-        # The answer is kept for repetitions that may want it from its start.
+        # A repeated request with this key can ask for the answer from its start.
         work = replace(work, resume_from=0)
     return Request(
         id=arrived.id,
@@ -96,52 +97,58 @@
     )
 
 
-def _given_up(
+def _unchecked_outcome(
     arrived: RequestArrived, not_run: NotRunReason, unknown: UnknownReason
 ) -> NotRun | Unknown:
-    """Return the outcome of a request that this node does not look into.
+    """Return the outcome of a request that this node rejects without checking its key.
 
     Notes
     -----
-    Under a key the work may have run at another node before, and a caller who is
-    told "not run" books again under another key. So only a request without a key
-    is certain not to have run.
+    A request with a key can already have run at another node. If its caller received
+    "not run", the caller would order the work again under another key. So only a
+    request without a key gets "not run".
     """
     if arrived.key is None:
-        return NotRun(not_run, ELSEWHERE_RETRY_S)
-    return Unknown(unknown, ELSEWHERE_RETRY_S)
+        return NotRun(not_run, OTHER_NODE_RETRY_S)
+    return Unknown(unknown, OTHER_NODE_RETRY_S)
 
 
-def _unready(world: World, arrived: RequestArrived) -> NotRun | Unknown | None:
+def _not_ready_outcome(
+    world: World, arrived: RequestArrived
+) -> NotRun | Unknown | None:
     if world.me.ready or world.phase is NodePhase.DRAINING:
         return None
-    return _given_up(arrived, NotRunReason.NODE_NOT_READY, UnknownReason.NODE_NOT_READY)
+    return _unchecked_outcome(
+        arrived, NotRunReason.NODE_NOT_READY, UnknownReason.NODE_NOT_READY
+    )
 
 
 def _refusal(
     world: World, request: Request, arrived: RequestArrived, now: float
 ) -> NotRun | Unknown | None:
-    """Return why a request is given up on arrival, None if it is not.
+    """Return the outcome of a request that is rejected on arrival, None if it is not.
 
     Notes
     -----
-    The deadline is compared first: a process that was frozen finds requests in
-    its socket buffers whose callers left long ago, and running those would spend
-    endpoints on answers that nobody reads.
+    The deadline is checked first. A process that was paused finds requests in its
+    socket buffers whose callers have disconnected. Running them would occupy
+    endpoints with answers that no caller reads.
     """
     if now >= request.deadline:
-        return _given_up(arrived, NotRunReason.DEADLINE, UnknownReason.DEADLINE)
+        return _unchecked_outcome(
+            arrived, NotRunReason.DEADLINE, UnknownReason.DEADLINE
+        )
     if request.key is not None:
         return None
     if now >= world.refuse_from:
-        return NotRun(NotRunReason.NODE_LEAVING, ELSEWHERE_RETRY_S)
+        return NotRun(NotRunReason.NODE_LEAVING, OTHER_NODE_RETRY_S)
     if request.deferred and answer_store_full(world):
-        return NotRun(NotRunReason.QUEUE_FULL, ELSEWHERE_RETRY_S)
+        return NotRun(NotRunReason.QUEUE_FULL, OTHER_NODE_RETRY_S)
     return queue_refusal(world, request.team)
 
 
 def admit_requests(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Take new requests, or say at once why not."""
+    """Admit or reject the requests that have arrived."""
     for arrived in inbox.of(RequestArrived):
         try:
             yield from _admit(world, arrived, now)
@@ -167,7 +174,7 @@
 
 
 def _admit(world: World, arrived: RequestArrived, now: float) -> Iterator[Effect]:
-    unready = _unready(world, arrived)
+    unready = _not_ready_outcome(world, arrived)
     if unready is not None:
         yield from _refuse(arrived, unready)
         return
@@ -190,15 +197,15 @@
 
 
 def cancel_abandoned(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Forget requests whose callers have gone.
+    """End requests whose callers have disconnected.
 
     Notes
     -----
-    A request that may have started is not withdrawn if it has a key: its outcome
-    is kept for the caller who comes back with the same key.
+    A request with a key that may have started is not cancelled. Its outcome is kept
+    for a caller that retries with the same key.
     """
-    for gone in inbox.of(CallerDisconnected):
-        request = world.requests.get(gone.request)
+    for disconnected in inbox.of(CallerDisconnected):
+        request = world.requests.get(disconnected.request)
         if request is None or request.state is RequestState.ENDED:
             continue
         waiting = request.state is RequestState.QUEUED
@@ -210,12 +217,12 @@
 
 
 def effective_rank(request: Request, now: float) -> int:
-    """Return the order of service of a waiting request, 0 first.
+    """Return the rank by which waiting requests are served, 0 first.
 
     Notes
     -----
-    Urgent work goes first, but a request that has waited for half of its time is
-    served as if it were urgent, so patient work is delayed and never starved.
+    Urgent work is served first. A request that has waited for half of its time is
+    served as if it were urgent, so patient work is delayed but never starved.
     """
     waited = now - request.arrived
     if waited > PROMOTION_SHARE * (request.deadline - request.arrived):
--- a/poplarrelay/systems/attempting.py
+++ b/poplarrelay/systems/attempting.py
@@ -1,4 +1,4 @@
-"""Take the results of attempts: answer, retry, or end as unknown."""
+"""Process the results of attempts: answer, retry, or end as unknown."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 __all__ = ["follow_attempts"]
 
-#: Failures in a row after which an endpoint gets no work for a while.
+#: Consecutive failures after which an endpoint gets no new work for a pause.
 BREAKER_FAILURES = 2
-#: Shortest and longest such pause, in seconds.
+#: Shortest and longest pause after such failures, in seconds.
 BREAKER_PAUSE_S = (0.5, 8.0)
-#: Weight of the newest attempt in the moving average of attempt times.
+#: Weight of the newest attempt in the exponential moving average of attempt times.
 ATTEMPT_WEIGHT = 0.2
-#: Seconds until a caller may come back after its attempts have failed.
+#: Seconds that a caller waits before it retries after its attempts have failed.
 FAILED_RETRY_S = 0.5
 
 
 def follow_attempts(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Follow running attempts and decide what comes after each."""
+    """Record the progress of attempts; conclude or retry those that have ended."""
     for progressed in inbox.of(AttemptProgressed):
         request = world.requests.get(progressed.request)
         if request is not None:
@@ -62,32 +62,32 @@
         endpoint = world.endpoints.get(request.attempt.endpoint)
     request.tokens = max(request.tokens, ended.tokens)
     if endpoint is not None:
-        _judge(world, endpoint, request, ended.result, now)
+        _update_endpoint_health(world, endpoint, request, ended.result, now)
     if ended.result is AttemptResult.FINISHED:
         outcome = Answered(ended.answer, ended.service, ended.usage)
         yield from conclude(world, request, outcome, now)
         return
-    outcome_if_last = _last_outcome(request, ended.result)
+    final_outcome = _final_outcome(request, ended.result)
     if not _may_retry(request, ended.result, now, world):
-        yield from conclude(world, request, outcome_if_last, now)
+        yield from conclude(world, request, final_outcome, now)
         return
-    yield from _retry(world, request, ended, outcome_if_last, now)
+    yield from _retry(world, request, ended, final_outcome, now)
 
 
-def _judge(
+def _update_endpoint_health(
     world: World,
     endpoint: Endpoint,
     request: Request,
     result: AttemptResult,
     now: float,
 ) -> None:
-    """Note how an endpoint did; pause it after failures in a row.
+    """Record an attempt's result at its endpoint; pause it after repeated failures.
 
     Notes
     -----
-    An endpoint that accepts and never answers looks idle in its load report and
-    would draw all new work. The pause grows with every failure, and the first
-    attempt after it decides whether it ends.
+    An endpoint that accepts requests and never answers looks idle in its load report
+    and would attract all new work. The pause doubles with every further failure. A
+    success of the first attempt after the pause resets the count of failures.
     """
     if result is AttemptResult.FINISHED:
         endpoint.failures = 0
@@ -104,8 +104,8 @@
         endpoint.closed_until = now + pause * (0.75 + 0.5 * world.rng.random())
 
 
-def _last_outcome(request: Request, result: AttemptResult) -> Outcome:
-    """Return what the request comes to if there is no further attempt."""
+def _final_outcome(request: Request, result: AttemptResult) -> Outcome:
+    """Return the outcome of a request that gets no further attempt."""
     if result is AttemptResult.EXPIRED:
         return Unknown(UnknownReason.DEADLINE, FAILED_RETRY_S)
     if result is AttemptResult.NOT_STARTED and not request.started:
@@ -116,12 +116,12 @@
 def _may_retry(
     request: Request, result: AttemptResult, now: float, world: World
 ) -> bool:
-    """Return whether another attempt does no harm and can still help.
+    """Return whether another attempt is safe and can still succeed.
 
     Notes
     -----
-    Work that must not be repeated gets another attempt only if no byte of the
-    last one reached its endpoint; anything else may have run.
+    Work that must not be repeated gets another attempt only if no byte of the last
+    attempt reached its endpoint. Otherwise the work may have run.
     """
     if result is AttemptResult.BROKEN:
         request.started = True
@@ -139,7 +139,7 @@
     world: World,
     request: Request,
     ended: AttemptEnded,
-    outcome_if_last: Outcome,
+    final_outcome: Outcome,
     now: float,
 ) -> Iterator[Effect]:
     attempt = request.attempt
@@ -149,7 +149,7 @@
         yield LogDecision(
             Decision.RETRY, (("request", request.id), ("refused", "budget"))
         )
-        yield from conclude(world, request, outcome_if_last, now)
+        yield from conclude(world, request, final_outcome, now)
         return
     release_endpoint(world, request, now)
     key = world.team_key(request)
--- a/poplarrelay/systems/baselines.py
+++ b/poplarrelay/systems/baselines.py
@@ -1,6 +1,6 @@
-"""Simple routing policies, to measure the design against.
+"""Simple routing policies, used as baselines in measurements.
 
-Each takes the endpoints that are open for a request and returns one of them.
+Each policy receives the endpoints that can take a request and returns one of them.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 def round_robin(
     candidates: list[Endpoint], request: Request, turn: int, rng: Random
 ) -> Endpoint:
-    """Take the endpoints in turn."""
+    """Return the next endpoint in the order of their ids."""
     ordered = sorted(candidates, key=lambda endpoint: endpoint.id)
     return ordered[turn % len(ordered)]
 
@@ -30,7 +30,7 @@
 def least_reported_load(
     candidates: list[Endpoint], request: Request, turn: int, rng: Random
 ) -> Endpoint:
-    """Take the endpoint whose last load report shows the fewest requests."""
+    """Return the endpoint whose last load report shows the fewest requests."""
 
     def reported(endpoint: Endpoint) -> int:
         report = endpoint.report
@@ -48,7 +48,7 @@
 def affinity_only(
     candidates: list[Endpoint], request: Request, turn: int, rng: Random
 ) -> Endpoint:
-    """Take the endpoint that rendezvous hashing gives the prompt's head."""
+    """Return the endpoint that rendezvous hashing picks for the prompt's prefix."""
     return max(candidates, key=lambda endpoint: _weight(request, endpoint.id))
 
 
--- a/poplarrelay/systems/capacity.py
+++ b/poplarrelay/systems/capacity.py
@@ -2,10 +2,11 @@
 
 Notes
 -----
-All that is known of started hosts is the cloud API's own list. A start bears a token
-that is made from what is wanted and the lowest free number, so a start whose answer
-was lost, or that an earlier holder of the duty gave, is found in the list or comes back
-under the same token: no host is started twice and none is forgotten and paid for.
+The cloud API's list is the only source for the hosts that are started. The token of a
+start consists of the model, the failure domain, the machine class and the lowest free
+number. If the answer to a start was lost, or an earlier holder of the duty sent it, the
+host is in the list or the start is sent again with the same token. So no host is
+started twice, and no host stays unnoticed while it is paid for.
 """
 
 from __future__ import annotations
@@ -38,21 +39,21 @@
 
 #: Seconds between two decisions.
 INTERVAL_S = 2.0
-#: Weight of the newest observation in the moving average of the demand.
+#: Weight of the newest observation in the exponential moving average of the demand.
 DEMAND_WEIGHT = 0.3
-#: Hosts of a model that may be starting at a time, since the weight store is limited.
+#: Hosts of a model that start at a time, since the weight store's capacity is limited.
 MAX_STARTING = 2
-#: Seconds for which an offer is not tried again after it was refused.
+#: Seconds before an offer is tried again after the cloud refused it.
 REFUSED_S = 10.0
-#: Hosts above the wanted number that are kept, so that small swings stop nothing.
+#: Hosts kept above the wanted number, so that small changes of demand stop no host.
 SPARE_HOSTS = 1
-#: Seconds that a planned stop gives to what runs there.
+#: Seconds that requests running on a host have to end before a planned stop.
 STOP_GRACE_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityPlan:
-    """What is to be started and stopped."""
+    """Hosts to start and hosts to stop."""
 
     starts: tuple[tuple[DomainId, MachineOffer], ...] = ()
     stops: tuple[StartedHost, ...] = ()
@@ -66,14 +67,14 @@
     policy : CapacityPolicy
         Bounds and headroom.
     demand : Demand
-        What runs and waits.
+        Running and waiting requests.
     domains : int
-        Failure domains that the hosts are spread over.
+        Number of failure domains that the hosts are spread over.
 
     Notes
     -----
-    Of hosts spread evenly over D domains, the loss of one leaves (D - 1) / D, and
-    that must carry the urgent demand.
+    If the hosts are spread evenly over D domains, (D - 1) / D of them remain after the
+    loss of one domain. These hosts must be enough for the urgent demand.
 
     Examples
     --------
@@ -98,7 +99,7 @@
     domains: Iterable[DomainId],
     refused: frozenset[tuple[DomainId, str]],
 ) -> CapacityPlan:
-    """Return what to start and stop.
+    """Return the hosts to start and to stop.
 
     Parameters
     ----------
@@ -107,23 +108,23 @@
     hosts : iterable of StartedHost
         All hosts that the cloud API lists.
     demand : Demand
-        What runs and waits.
+        Running and waiting requests.
     domains : iterable of DomainId
-        Failure domains that may be used.
+        Failure domains in which hosts can start.
     refused : frozenset
-        Offers that were refused lately, by failure domain and machine class.
+        Failure domain and machine class of each offer that was refused recently.
     """
-    mine = [h for h in hosts if h.model == policy.model and not h.stopping]
+    model_hosts = [h for h in hosts if h.model == policy.model and not h.stopping]
     usable = sorted(domains)
     wanted = wanted_hosts(policy, demand, len(usable))
-    starting = sum(1 for host in mine if host.starting)
-    room = max(0, MAX_STARTING - starting)
-    fixed = {o.machine_class for o in policy.offers if not o.reclaimable}
-    base = sum(1 for host in mine if host.machine_class in fixed)
+    starting = sum(1 for host in model_hosts if host.starting)
+    start_limit = max(0, MAX_STARTING - starting)
+    on_demand = {o.machine_class for o in policy.offers if not o.reclaimable}
+    base = sum(1 for host in model_hosts if host.machine_class in on_demand)
     starts: list[tuple[DomainId, MachineOffer]] = []
-    in_domain = CountOf(host.domain for host in mine)
-    while len(starts) < room and (
-        len(mine) + len(starts) < wanted or base < policy.base_hosts
+    in_domain = CountOf(host.domain for host in model_hosts)
+    while len(starts) < start_limit and (
+        len(model_hosts) + len(starts) < wanted or base < policy.base_hosts
     ):
         offer = _best_offer(policy, usable, in_domain, refused, base)
         if offer is None:
@@ -131,7 +132,11 @@
         starts.append(offer)
         in_domain[offer[0]] += 1
         base += not offer[1].reclaimable
-    stops = _stops(policy, mine, wanted, in_domain, base) if not starts else ()
+    stops = (
+        _hosts_to_stop(policy, model_hosts, wanted, in_domain, base)
+        if not starts
+        else ()
+    )
     return CapacityPlan(tuple(starts), stops)
 
 
@@ -159,38 +164,42 @@
     )
 
 
-def _stops(
+def _hosts_to_stop(
     policy: CapacityPolicy,
-    mine: list[StartedHost],
+    model_hosts: list[StartedHost],
     wanted: int,
     in_domain: CountOf[DomainId],
     base: int,
 ) -> tuple[StartedHost, ...]:
-    """Return one host to stop: the dearest, of the fullest domain."""
-    if len(mine) <= wanted + SPARE_HOSTS:
+    """Return one host to stop, or none.
+
+    The most expensive host is chosen; among equal prices, one in the domain with the
+    most hosts.
+    """
+    if len(model_hosts) <= wanted + SPARE_HOSTS:
         return ()
     prices = {offer.machine_class: offer.price for offer in policy.offers}
-    fixed = {o.machine_class for o in policy.offers if not o.reclaimable}
-    able = [
+    on_demand = {o.machine_class for o in policy.offers if not o.reclaimable}
+    stoppable = [
         host
-        for host in mine
+        for host in model_hosts
         if not host.starting
-        and (host.machine_class not in fixed or base > policy.base_hosts)
+        and (host.machine_class not in on_demand or base > policy.base_hosts)
     ]
-    if not able:
+    if not stoppable:
         return ()
-    dearest = max(
-        able,
+    most_expensive = max(
+        stoppable,
         key=lambda h: (prices.get(h.machine_class, 0.0), in_domain[h.domain], h.token),
     )
-    return (dearest,)
+    return (most_expensive,)
 
 
-def _observe(world: World, model: str) -> Demand:
-    """Return the demand now, as far as this node can see it.
+def _observed_demand(world: World, model: str) -> Demand:
+    """Return this node's estimate of the current demand.
 
-    Engines report what all nodes sent; what waits at other nodes is taken to be
-    as much as what waits here, since callers spread evenly.
+    Load reports of engines cover the requests of all nodes. Each other node is assumed
+    to have as many waiting requests as this one, since callers spread evenly.
     """
     reported = sum(
         endpoint.report.running + endpoint.report.queued
@@ -207,11 +216,11 @@
     return Demand(float(total), share * total)
 
 
-def _smooth(world: World, model: str) -> Demand:
-    now = _observe(world, model)
-    before = world.demand.get(model, now)
-    total = before.total + DEMAND_WEIGHT * (now.total - before.total)
-    urgent = before.urgent + DEMAND_WEIGHT * (now.urgent - before.urgent)
+def _update_demand(world: World, model: str) -> Demand:
+    now = _observed_demand(world, model)
+    previous = world.demand.get(model, now)
+    total = previous.total + DEMAND_WEIGHT * (now.total - previous.total)
+    urgent = previous.urgent + DEMAND_WEIGHT * (now.urgent - previous.urgent)
     world.demand[model] = Demand(max(total, now.total), max(urgent, now.urgent))
     return world.demand[model]
 
@@ -224,24 +233,24 @@
 
 
 def scale_hosts(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Start and stop hosts, if this node holds the placement duty."""
+    """Start and stop hosts if this node holds the placement duty."""
     for refusal in inbox.of(StartRefused):
         key = (refusal.domain, refusal.machine_class)
         world.refused_starts[key] = now + REFUSED_S
     timeout = world.settings.timing.order_timeout_s
-    left = remaining_term(world, Duty.PLACEMENT, now)
-    if left <= 2 * timeout:
+    remaining = remaining_term(world, Duty.PLACEMENT, now)
+    if remaining <= 2 * timeout:
         return
-    expires_at = now + left - 2 * timeout
+    expires_at = now + remaining - 2 * timeout
     for listed in inbox.of(StartedHostsListed):
         for template, policy in _policies(world):
-            yield from _steer(world, template, policy, listed, expires_at, now)
+            yield from _scale_model(world, template, policy, listed, expires_at, now)
     if now >= world.next_capacity_at and any(_policies(world)):
         world.next_capacity_at = now + INTERVAL_S
         yield ListStartedHosts()
 
 
-def _steer(
+def _scale_model(
     world: World,
     template: Template,
     policy: CapacityPolicy,
@@ -252,23 +261,23 @@
     refused = frozenset(
         key for key, until in world.refused_starts.items() if until > now
     )
-    noticed = {d for d, until in world.notified_domains.items() if until > now}
-    domains = [DomainId(d) for d in template.failure_domains if d not in noticed]
-    demand = _smooth(world, policy.model)
-    plan = plan_capacity(policy, _staying(world, listed), demand, domains, refused)
+    notified = {d for d, until in world.notified_domains.items() if until > now}
+    domains = [DomainId(d) for d in template.failure_domains if d not in notified]
+    demand = _update_demand(world, policy.model)
+    plan = plan_capacity(policy, _not_leaving(world, listed), demand, domains, refused)
     taken = {host.token for host in listed.hosts}
     for domain, offer in plan.starts:
         token = _free_token(policy.model, domain, offer.machine_class, taken)
         taken.add(token)
-        yield _decided("start", token, demand)
+        yield _placement_decision("start", token, demand)
         yield StartHost(token, policy.model, offer.machine_class, domain, expires_at)
     for host in plan.stops:
-        yield _decided("stop", host.token, demand)
+        yield _placement_decision("stop", host.token, demand)
         yield StopHost(host.token, STOP_GRACE_S, expires_at)
 
 
-def _staying(world: World, listed: StartedHostsListed) -> list[StartedHost]:
-    """Return the hosts that are not about to be reclaimed."""
+def _not_leaving(world: World, listed: StartedHostsListed) -> list[StartedHost]:
+    """Return the hosts whose endpoint is not leaving."""
     leaving = {
         e.id for e in world.endpoints.values() if e.state is EndpointState.LEAVING
     }
@@ -280,8 +289,9 @@
 ) -> str:
     """Return the token with the lowest free number.
 
-    The number is not counted up from memory: a new holder of the duty, or this one
-    after a lost answer, comes to the same token from the same list.
+    The number comes from the cloud API's list, not from a counter in memory. So a new
+    holder of the duty, or this node after a lost answer, gets the same token from the
+    same list.
     """
     number = 1
     while (token := f"{model}.{domain}.{machine_class}.{number}") in taken:
@@ -289,6 +299,6 @@
     return token
 
 
-def _decided(what: str, token: str, demand: Demand) -> LogDecision:
-    fields = (("host", what), ("token", token), ("demand", round(demand.total, 2)))
+def _placement_decision(action: str, token: str, demand: Demand) -> LogDecision:
+    fields = (("host", action), ("token", token), ("demand", round(demand.total, 2)))
     return LogDecision(Decision.PLACEMENT, fields)
--- a/poplarrelay/systems/configuring.py
+++ b/poplarrelay/systems/configuring.py
@@ -2,9 +2,10 @@
 
 Notes
 -----
-The order of records in the log is the only agreement. A change names the offset of
-the change that it replaces and counts only if that one is still in force at its own
-offset, so of two racing operators the first in the log wins on every node alike.
+Nodes agree only through the order of records in the log. A change names the offset of
+the change that it replaces. It comes into force only if that change is still in force
+at the new record's offset. So if two operators publish at the same time, the first
+record in the log wins on every node.
 """
 
 from __future__ import annotations
@@ -64,7 +65,7 @@
     "take_snapshot",
 ]
 
-#: Seconds that an operator's change may take to be read back.
+#: Seconds within which an operator's change must be read back from the log.
 PUBLISH_TIMEOUT_S = 10.0
 #: Seconds between two requests for a peer's configuration.
 FETCH_INTERVAL_S = 0.5
@@ -75,16 +76,18 @@
     try:
         if kind == "template":
             template = Template.model_validate(body)
-            own = template.name
+            body_name = template.name
             value: Template | Deployment = template
         else:
             deployment = Deployment.model_validate(body)
-            own = deployment.team
+            body_name = deployment.team
             value = deployment
     except ValidationError as error:
         raise InvalidConfiguration(field_errors(error)) from None
-    if own != name:
-        raise InvalidConfiguration((FieldError(subject, f"the body names {own!r}"),))
+    if body_name != name:
+        raise InvalidConfiguration(
+            (FieldError(subject, f"the body names {body_name!r}"),)
+        )
     return value
 
 
@@ -115,12 +118,12 @@
 def _check_change(
     table: ConfigurationTable, subject: str, body: dict[str, object] | None
 ) -> Template | Deployment | None:
-    """Return the value of a change that may come into force.
+    """Return the parsed value of a change, None if the change removes its subject.
 
     Raises
     ------
     InvalidConfiguration
-        If the change, or a deployment that depends on it, would not be valid.
+        If the change, or a deployment that depends on it, would be invalid.
     """
     kind, _, name = subject.partition("/")
     if body is None:
@@ -139,7 +142,7 @@
 
 
 def rebuild(table: ConfigurationTable) -> None:
-    """Work out policies and tokens from the entries in force."""
+    """Recompute policies and teams of tokens from the entries in force."""
     table.policies = {}
     table.team_of_token = {}
     for entry in table.entries.values():
@@ -155,38 +158,38 @@
 def fold_change(
     table: ConfigurationTable, offset: Offset, change: ChangeRecord
 ) -> ChangeResult:
-    """Fold one change; the same on every node.
+    """Fold one change; the result is the same on every node.
 
     Parameters
     ----------
     table : ConfigurationTable
-        Changed in place if the change comes into force.
+        Modified in place if the change comes into force.
     offset : Offset
-        Where the change stands in the log.
+        Offset of the change in the log.
     change : ChangeRecord
         The change.
 
     Notes
     -----
-    A repetition of a record (after a lost answer) or an old record that is put
-    back fails the comparison, since an offset once replaced never returns: a
-    removal keeps its row.
+    A record that is appended twice (after a lost answer) and an old record that is
+    appended again fail the comparison. An offset that was replaced is never in force
+    again, since a removal keeps the subject's entry.
     """
     current = table.entries.get(change.subject)
-    winner = None if current is None else current.offset
-    if change.after != winner:
-        return ChangeResult(False, winner)
+    current_offset = None if current is None else current.offset
+    if change.after != current_offset:
+        return ChangeResult(False, current_offset)
     try:
         value = _check_change(table, change.subject, change.body)
     except InvalidConfiguration as error:
-        return ChangeResult(False, winner, str(error))
+        return ChangeResult(False, current_offset, str(error))
     table.entries[change.subject] = InForce(offset, value)
     rebuild(table)
     return ChangeResult(True, offset)
 
 
 def take_snapshot(world: World, record: RecordId) -> SnapshotRecord:
-    """Return all configuration and all leases that are in force."""
+    """Return a snapshot of the configuration and the leases in force."""
     entries = tuple(
         SnapshotEntry(
             subject=subject,
@@ -211,7 +214,7 @@
 
 
 def load_snapshot(snapshot: SnapshotRecord) -> ConfigurationTable:
-    """Return the table that a snapshot holds."""
+    """Return the configuration table stored in a snapshot."""
     table = ConfigurationTable()
     for entry in snapshot.entries:
         value = None if entry.body is None else _parse(entry.subject, entry.body)
@@ -220,11 +223,11 @@
     return table
 
 
-def _adopt(world: World, snapshot: SnapshotRecord, now: float) -> None:
-    """Start from a snapshot.
+def _restore_snapshot(world: World, snapshot: SnapshotRecord, now: float) -> None:
+    """Replace the folded configuration and leases by those of a snapshot.
 
-    A lease counts as read only now, which can only make this node wait longer
-    before it takes a duty over.
+    Each lease counts as read now. This can only make the node wait longer before it
+    takes over a duty.
     """
     world.leases = {
         lease.duty: Lease(
@@ -249,32 +252,31 @@
     position.caught_up = True
 
 
-def _settle(
-    world: World, record_id: str, verdict: ChangeResult, now: float
+def _resolve_pending(
+    world: World, record_id: str, result: ChangeResult, now: float
 ) -> Iterator[Effect]:
-    """Reply to an operator with the verdict on a change, or resend the change.
+    """Reply to an operator with the result of a change, or resend the change.
 
     Notes
     -----
-    A change without `after` loses if this node had not read an earlier change of the
-    subject when it sent the record. The operator gave no offset, so this is not a
-    conflict. A record that has lost cannot come into force later, so the change is
-    resent under a new record id until its deadline.
+    An operator can publish a change without naming the offset that it replaces. Such a
+    change loses if this node had not read an earlier change of the subject when it sent
+    the record. This is not a conflict, since the operator named no offset. A record
+    that has lost cannot come into force later, so the node resends the change under a
+    new record id until the change's deadline.
     """
     pending = world.pending_changes.pop(RecordId(record_id), None)
     if pending is None:
         return
-    if verdict.won:
-        yield Reply(pending.call, verdict)
-    elif verdict.problem:
-        fault = FieldError(pending.subject, verdict.problem)
+    if result.won:
+        yield Reply(pending.call, result)
+    elif result.problem:
+        fault = FieldError(pending.subject, result.problem)
         yield Reply(pending.call, InvalidConfiguration((fault,)))
     elif pending.resendable and now < pending.until:
         yield from _send_change(world, pending)
     else:
-        yield Reply(
-            pending.call, ConfigurationConflict(pending.subject, verdict.winner)
-        )
+        yield Reply(pending.call, ConfigurationConflict(pending.subject, result.winner))
 
 
 def _fold_one(world: World, record: Record, now: float) -> Iterator[Effect]:
@@ -287,23 +289,25 @@
     if not isinstance(change, ChangeRecord):
         return
     table = world.configuration
-    verdict = fold_change(table, record.offset, change)
-    table.history.append(HistoryEntry(record.offset, change.subject, verdict))
+    result = fold_change(table, record.offset, change)
+    table.history.append(HistoryEntry(record.offset, change.subject, result))
     yield LogDecision(
         Decision.CONFIGURATION,
         (
             ("subject", change.subject),
             ("offset", record.offset),
-            ("in_force", verdict.won),
-            ("winner", verdict.winner),
-            ("problem", verdict.problem or None),
+            ("in_force", result.won),
+            ("winner", result.winner),
+            ("problem", result.problem or None),
         ),
     )
-    yield from _settle(world, change.id, verdict, now)
+    yield from _resolve_pending(world, change.id, result, now)
 
 
-def _base_of(records: list[Record], oldest: Offset) -> SnapshotRecord | None:
-    """Return the newest snapshot after which no record is missing."""
+def _newest_usable_snapshot(
+    records: list[Record], oldest: Offset
+) -> SnapshotRecord | None:
+    """Return the newest snapshot since which no record was trimmed, None if none."""
     for record in reversed(records):
         value = record.value
         if isinstance(value, SnapshotRecord) and value.covers >= oldest:
@@ -323,13 +327,13 @@
 
 
 def _collect(world: World, batch: RecordsRead, now: float) -> Iterator[Effect]:
-    """Read up to the end of a trimmed stream, then start from a snapshot.
+    """Collect records up to the end of a trimmed stream, then start from a snapshot.
 
     Notes
     -----
-    Without the trimmed records the state is not known: folding what is left would
-    give a node a configuration that nobody published. So nothing is folded, and
-    the node is not ready, until a snapshot closes the gap.
+    The state is unknown without the trimmed records. Folding only the remaining records
+    would produce a configuration that no operator published. So the node folds nothing
+    and is not ready until a snapshot replaces the trimmed records.
     """
     position = world.streams[CONFIGURATION]
     position.caught_up = False
@@ -337,17 +341,17 @@
     world.collecting.extend(r for r in batch.records if r.offset not in known)
     if not world.collecting or world.collecting[-1].offset + 1 < batch.next:
         return
-    base = _base_of(world.collecting, batch.oldest)
+    base = _newest_usable_snapshot(world.collecting, batch.oldest)
     if base is None or base.covers < position.next:
         return
     records, world.collecting = world.collecting, []
-    _adopt(world, base, now)
+    _restore_snapshot(world, base, now)
     for record in records:
         yield from _fold_one(world, record, now)
 
 
 def fold_configuration(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Fold what was read of the configuration stream."""
+    """Fold records of the configuration stream and snapshots from peers."""
     position = world.streams[CONFIGURATION]
     for failure in inbox.of(LogFailed):
         if failure.stream == CONFIGURATION:
@@ -362,7 +366,7 @@
             not position.caught_up and covers == position.next
         ):
             world.collecting = []
-            _adopt(world, message.snapshot, now)
+            _restore_snapshot(world, message.snapshot, now)
             yield LogDecision(
                 Decision.CONFIGURATION,
                 (("from_peer", True), ("offset", covers)),
@@ -370,7 +374,7 @@
 
 
 def publish_changes(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Check operators' changes, send them to the log, and tell the verdict."""
+    """Check operators' changes, append them to the log, and report timeouts."""
     for asked in inbox.of(ChangeAsked):
         yield from _publish(world, asked, now)
     for record, pending in list(world.pending_changes.items()):
@@ -385,9 +389,9 @@
         yield Reply(asked.call, LogUnavailable("the log cannot be reached"))
         return
     current = world.configuration.entries.get(asked.subject)
-    winner = None if current is None else current.offset
-    if asked.checked and asked.after != winner:
-        yield Reply(asked.call, ConfigurationConflict(asked.subject, winner))
+    current_offset = None if current is None else current.offset
+    if asked.checked and asked.after != current_offset:
+        yield Reply(asked.call, ConfigurationConflict(asked.subject, current_offset))
         return
     until = now + PUBLISH_TIMEOUT_S
     pending = PendingChange(
@@ -397,7 +401,7 @@
 
 
 def _send_change(world: World, pending: PendingChange) -> Iterator[Effect]:
-    """Check a change and append it after the one in force on this node."""
+    """Append a valid change that replaces the one in force on this node."""
     subject, body = pending.subject, pending.body
     try:
         _check_change(world.configuration, subject, body)
@@ -405,20 +409,21 @@
         yield Reply(pending.call, error)
         return
     current = world.configuration.entries.get(subject)
-    winner = None if current is None else current.offset
+    current_offset = None if current is None else current.offset
     record = world.new_record_id()
-    change = ChangeRecord(id=record, subject=subject, after=winner, body=body)
+    change = ChangeRecord(id=record, subject=subject, after=current_offset, body=body)
     world.pending_changes[record] = pending
     yield AppendRecord(CONFIGURATION, change, pending.until)
 
 
 def share_configuration(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Give peers the configuration in force, and take theirs when they are ahead.
+    """Send the configuration in force to peers, and fetch theirs if it is newer.
 
     Notes
     -----
-    A change that was accepted just before the log went away must still reach
-    every node, and a node that starts during an outage has only its peers.
+    A change that was accepted just before an outage of the log must still reach every
+    node. A node that starts during the outage can get the configuration only from its
+    peers.
     """
     for asked in inbox.of(ConfigurationAsked):
         caught_up = world.streams[CONFIGURATION].caught_up
--- a/poplarrelay/systems/discovering.py
+++ b/poplarrelay/systems/discovering.py
@@ -1,4 +1,4 @@
-"""Tell callers which nodes to use."""
+"""Answer callers who ask for the addresses of nodes."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 __all__ = ["Address", "Addresses", "answer_addresses", "choose_addresses"]
 
-#: Addresses in one answer.
+#: Largest number of addresses in one answer.
 MAX_ADDRESSES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A node that takes work.
+    """A node that accepts work.
 
     Attributes
     ----------
     ticket : str
-        Prefix of tickets that this node runs; see `poplarrelay.systems.keys`.
+        Prefix of the tickets that the node owns; see `poplarrelay.systems.keys`.
     """
 
     node: str
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """Answer to a caller.
+    """Answer to a caller who asks for addresses.
 
     Attributes
     ----------
     ttl_s : float
-        Seconds for which the answer may be kept.
+        Seconds for which the caller can reuse the answer.
     """
 
     addresses: tuple[Address, ...]
@@ -63,12 +63,12 @@
 
 
 def choose_addresses(world: World, now: float) -> Addresses:
-    """Return nodes that take work, from as many failure domains as possible.
+    """Return nodes that accept work, from as many failure domains as possible.
 
     Notes
     -----
-    Nodes that are suspected or leaving are left out at once. The order is random,
-    so that callers who take the first address spread evenly.
+    Nodes that are suspected or leaving are omitted at once. The order is random, so
+    that callers who use the first address spread evenly.
     """
     world.me.epoch = world.epoch(now)
     members = _candidates(world)
@@ -95,7 +95,7 @@
 
 
 def answer_addresses(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Answer callers who ask which nodes to use."""
+    """Reply to callers who ask for addresses."""
     for asked in inbox.of(AddressesAsked):
         try:
             team_of(world, asked.token_sha256)
--- a/poplarrelay/systems/dispatching.py
+++ b/poplarrelay/systems/dispatching.py
@@ -1,4 +1,4 @@
-"""Send waiting requests to endpoints."""
+"""Send queued requests to endpoints."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 __all__ = ["create_attempt", "criteria_for", "dispatch_queue"]
 
-#: Prefixes that are remembered for one endpoint.
+#: Largest number of prefixes remembered for one endpoint.
 MAX_PREFIXES = 512
-#: Seconds until a caller may come back whose request could not be served in time.
-HOPELESS_RETRY_S = 1.0
+#: Seconds that a caller waits before it retries if its request would end too late.
+TOO_LATE_RETRY_S = 1.0
 
 
 def criteria_for(world: World, request: Request, now: float) -> Criteria:
-    """Return what an endpoint for the request must fulfil."""
+    """Return the criteria by which an endpoint is chosen for the request."""
     policy = world.configuration.policies.get(request.team)
     domains = frozenset() if policy is None else policy.failure_domains
     avoided = frozenset(
@@ -53,7 +53,7 @@
 def create_attempt(
     world: World, request: Request, choice: EndpointChoice, recomputed: int, now: float
 ) -> Attempt:
-    """Make an attempt and put it on the endpoint's books."""
+    """Create an attempt and record it at its endpoint and request."""
     endpoint = choice.endpoint
     attempt = Attempt(
         id=world.new_attempt_id(request.id),
@@ -83,12 +83,14 @@
         del prefixes[next(iter(prefixes))]
 
 
-def _order(world: World, request: Request, now: float) -> tuple[int, float, float]:
+def _dispatch_order(
+    world: World, request: Request, now: float
+) -> tuple[int, float, float]:
     served = world.team_usage(request.team).served
     return effective_rank(request, now), served, request.arrived
 
 
-def _recomputed(request: Request) -> int:
+def _recomputed_tokens(request: Request) -> int:
     if request.work.kind is WorkKind.SERVICE:
         return 0
     resumed = max(request.tokens, request.work.resume_from)
@@ -98,21 +100,21 @@
 
 
 def dispatch_queue(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Send every waiting request for which there is an endpoint.
+    """Send every queued request for which an endpoint is available.
 
     Notes
     -----
-    Classes go in order; within a class the team that was served least for its
-    priority goes first, so one team's flood only lengthens its own queue. After
-    one request of a team finds no endpoint for a model, the others of that team,
-    class and model are not tried in this tick, which bounds the work of a tick.
+    Requests are served by class. Within a class, the team that was served least for its
+    priority is first, so many requests of one team lengthen only that team's queue. If
+    a request finds no endpoint, the other requests of the same team, class and model
+    are skipped in this tick. This bounds the work of a tick.
     """
-    yield from _give_up_hopeless(world, now)
+    yield from _end_too_late(world, now)
     waiting = [world.requests[request_id] for request_id in world.queue]
     blocked: set[tuple[TeamId, str, int]] = set()
     endpoints = list(world.endpoints.values())
     deferred = _deferred_running(world)
-    for request in sorted(waiting, key=lambda r: _order(world, r, now)):
+    for request in sorted(waiting, key=lambda r: _dispatch_order(world, r, now)):
         group = (request.team, request.work.name, effective_rank(request, now))
         if group in blocked:
             continue
@@ -130,35 +132,35 @@
         yield from _dispatch(world, request, choice, now)
 
 
-def _shortest_run(world: World, request: Request) -> float:
-    """Return the seconds that the request needs at least, 0 if that is not known.
+def _estimated_run_s(world: World, request: Request) -> float:
+    """Return the seconds that the request is estimated to run, 0 if unknown.
 
-    The longest answer allowed bounds it from above, and what attempts have taken
-    lately says how much of that is used.
+    For each endpoint, the estimate is the smaller of the time for the longest allowed
+    answer and the average time of recent attempts. The smallest estimate is returned.
     """
-    needs = [
+    estimates = [
         min(endpoint.report.step_s * request.work.max_tokens, endpoint.attempt_s)
         for endpoint in world.endpoints.values()
         if endpoint.report is not None and endpoint.serves(request.work.name)
     ]
-    return min(needs, default=0.0)
+    return min(estimates, default=0.0)
 
 
-def _give_up_hopeless(world: World, now: float) -> Iterator[Effect]:
-    """End waiting requests that cannot be answered before their deadline.
+def _end_too_late(world: World, now: float) -> Iterator[Effect]:
+    """End queued requests that cannot be answered before their deadline.
 
     Notes
     -----
-    Under overload the oldest requests are served first. Without this they reach an
-    endpoint too late to be answered, so the endpoints are busy with answers that
-    nobody gets, and the callers wait until their deadline to learn it.
+    Under overload the oldest requests are served first. Without this check they would
+    reach an endpoint too late to be answered in time. Endpoints would compute answers
+    that no caller receives, and callers would wait until the deadline for an outcome.
     """
     for request_id in list(world.queue):
         request = world.requests[request_id]
         if request.started or request.work.kind is not WorkKind.COMPLETION:
             continue
-        if now + _shortest_run(world, request) > request.deadline:
-            outcome = NotRun(NotRunReason.DEADLINE, HOPELESS_RETRY_S)
+        if now + _estimated_run_s(world, request) > request.deadline:
+            outcome = NotRun(NotRunReason.DEADLINE, TOO_LATE_RETRY_S)
             yield from conclude(world, request, outcome, now)
 
 
@@ -170,7 +172,7 @@
     )
 
 
-def _charge(world: World, request: Request) -> None:
+def _record_served(world: World, request: Request) -> None:
     policy = world.configuration.policies.get(request.team)
     priority = 1 if policy is None else policy.priority
     usage = world.team_usage(request.team)
@@ -184,13 +186,13 @@
 ) -> Iterator[Effect]:
     leave_queue(world, request)
     world.team_usage(request.team).running += 1
-    _charge(world, request)
-    attempt = create_attempt(world, request, choice, _recomputed(request), now)
+    _record_served(world, request)
+    attempt = create_attempt(world, request, choice, _recomputed_tokens(request), now)
     request.state = RequestState.DISPATCHED
     key = world.team_key(request)
     if key is not None:
-        # From here on an attempt may have been sent: the key is never released
-        # unless the attempt reports that no byte reached the endpoint.
+        # From now on an attempt may have been sent. The key is released only if the
+        # attempt reports that no byte reached the endpoint.
         world.key_executions[key].state = KeyState.RUNNING
     yield LogDecision(
         Decision.ROUTE,
--- a/poplarrelay/systems/draining.py
+++ b/poplarrelay/systems/draining.py
@@ -1,13 +1,13 @@
-"""Let this node leave: stop being named, drain, hand over.
+"""Let this node leave: announce it, drain, hand over to a successor.
 
 Notes
 -----
-The order is what makes it safe. First the node tells its peers that it is leaving,
-so discovery stops naming it; callers that hold an older answer are still served for
-as long as such answers live. Then it takes no more work and lets what runs end.
-Before the handover is sent, the node gives up the right to run its tickets; it is
-sent to one successor under one id until that one acknowledges it, so a lost
-acknowledgement never leaves two holders.
+The order of the steps makes leaving safe. First the node announces to its peers that
+it is leaving, so discovery no longer lists it. Callers with an older list of addresses
+are still served until that list expires. Then the node accepts no new work and lets
+running requests end. Before it sends the handover, it releases the right to run its
+tickets. It sends the handover to one successor, under one id, until the successor
+acknowledges it. So a lost acknowledgement never leaves two owners.
 """
 
 from __future__ import annotations
@@ -51,35 +51,35 @@
 
 __all__ = ["drain", "take_handovers"]
 
-#: Share of the time to leave in which new requests are still taken.
+#: Fraction of the time to leave during which new requests are still accepted.
 ACCEPT_SHARE = 0.3
-#: Seconds before the end at which what still runs is handed over.
+#: Seconds before the end at which the handover begins even if requests still run.
 HANDOVER_MARGIN_S = 2.0
-#: Largest share of the time to leave that this margin takes.
+#: Largest fraction of the time to leave that `HANDOVER_MARGIN_S` takes.
 HANDOVER_SHARE = 0.3
-#: Seconds between two repetitions of a handover.
+#: Seconds between two sends of an unacknowledged handover.
 RESEND_S = 0.3
 
 
 def drain(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Take the order to leave, and go through the steps of leaving."""
+    """Process shutdown requests and run the next step of leaving."""
     for asked in inbox.of(ShutdownAsked):
-        yield from _start(world, asked.within_s, now)
+        yield from _begin_leaving(world, asked.within_s, now)
     if world.phase is not NodePhase.DRAINING:
         return
-    yield from _follow_acknowledgement(world, inbox)
+    yield from _process_acknowledgements(world, inbox)
     if world.handover is None:
-        quiet = now >= world.refuse_from and not _busy(world)
-        if quiet or now >= world.handover_at:
+        idle = now >= world.refuse_from and not _busy(world)
+        if idle or now >= world.handover_at:
             yield from _begin_handover(world, now)
     elif not world.handover.acknowledged and now >= world.handover.next_send_at:
         yield from _send_handover(world, now)
-    if _done(world) or now >= world.drain_until:
+    if _handover_acknowledged(world) or now >= world.drain_until:
         yield from _stop(world, now)
 
 
-def _start(world: World, within_s: float, now: float) -> Iterator[Effect]:
-    """Begin to leave; a second order may only bring the end forward."""
+def _begin_leaving(world: World, within_s: float, now: float) -> Iterator[Effect]:
+    """Begin to leave, or bring the end forward if the node is leaving already."""
     until = now + within_s
     margin = min(HANDOVER_MARGIN_S, HANDOVER_SHARE * within_s)
     world.drain_until = min(world.drain_until, until)
@@ -96,10 +96,10 @@
     world.me.ready = False
     raise_version(world)
     yield LogDecision(Decision.DRAIN, (("step", "leaving"), ("within_s", within_s)))
-    yield from _tell(world, now)
+    yield from _announce(world, now)
 
 
-def _tell(world: World, now: float) -> Iterator[Effect]:
+def _announce(world: World, now: float) -> Iterator[Effect]:
     peers = tuple(
         m.peers
         for m in world.members.values()
@@ -109,8 +109,11 @@
         yield SendGossip(peers, ProbeMessage(sender=own_row(world, now)))
 
 
-def _waits(request: Request) -> bool:
-    """Return whether a request can go on at another node as if it had come there."""
+def _is_waiting_deferred(request: Request) -> bool:
+    """Return whether a request is deferred, queued and was never started.
+
+    Another node can run such a request as if the caller had sent it there.
+    """
     return (
         request.deferred
         and request.state is RequestState.QUEUED
@@ -119,35 +122,36 @@
 
 
 def _busy(world: World) -> bool:
-    return any(not _waits(request) for request in world.open_requests())
+    return any(not _is_waiting_deferred(request) for request in world.open_requests())
 
 
 def _successor(world: World) -> Member | None:
-    """Return the peer to hand over to, best in another failure domain."""
+    """Return a random ready peer, in another failure domain if there is one."""
     ready = [
         m for m in world.members.values() if m.status is MemberStatus.ALIVE and m.ready
     ]
-    elsewhere = [m for m in ready if m.domain != world.me.domain]
-    pool = elsewhere or ready
-    return world.rng.choice(pool) if pool else None
+    other_domains = [m for m in ready if m.domain != world.me.domain]
+    candidates = other_domains or ready
+    return world.rng.choice(candidates) if candidates else None
 
 
 def _begin_handover(world: World, now: float) -> Iterator[Effect]:
     successor = _successor(world)
     if successor is None:
-        if not _busy(world) and not _has_memory(world):
+        if not _busy(world) and not _has_state_to_hand_over(world):
             yield from _stop(world, now)
         return
-    stored = _take_along(world, now)
-    yield from _end_the_rest(world, successor, now)
-    # Deferred requests that have ended only now are fetched at the successor as well.
-    stored += _take_along(world, now)
+    encoded = _extract_deferred(world, now)
+    yield from _end_open_requests(world, successor, now)
+    # Deferred requests that ended in the line above are handed over as well, since
+    # their callers fetch the outcome at the successor.
+    encoded += _extract_deferred(world, now)
     message = HandoverMessage(
         id=f"h.{world.node}.{world.incarnation}",
         node=world.node,
         incarnation=world.incarnation,
-        keys=tuple(_stored_keys(world, now)),
-        requests=stored,
+        keys=tuple(_encoded_keys(world, now)),
+        requests=encoded,
     )
     world.handover = HandoverState(successor.node, successor.peers, message, now)
     yield LogDecision(
@@ -161,34 +165,35 @@
     yield from _send_handover(world, now)
 
 
-def _take_along(world: World, now: float) -> tuple[RequestMessage, ...]:
-    handed = [r for r in world.requests.values() if _goes_along(r)]
-    stored = tuple(encode_request(request, now) for request in handed)
-    for request in handed:
+def _extract_deferred(world: World, now: float) -> tuple[RequestMessage, ...]:
+    transferred = [r for r in world.requests.values() if _is_handed_over(r)]
+    encoded = tuple(encode_request(request, now) for request in transferred)
+    for request in transferred:
         remove_request(world, request, now)
-    return stored
+    return encoded
 
 
-def _has_memory(world: World) -> bool:
+def _has_state_to_hand_over(world: World) -> bool:
     return bool(world.key_executions) or any(
         r.deferred for r in world.requests.values()
     )
 
 
-def _goes_along(request: Request) -> bool:
-    """Return whether a deferred request, or its kept answer, is handed over."""
+def _is_handed_over(request: Request) -> bool:
+    """Return whether a request, or the answer kept for it, is handed over."""
     if not request.deferred:
         return False
     ended = request.state is RequestState.ENDED
-    return ended or _waits(request) or request.work.repeatable
+    return ended or _is_waiting_deferred(request) or request.work.repeatable
 
 
-def _end_the_rest(
+def _end_open_requests(
     world: World, successor: Member | None, now: float
 ) -> Iterator[Effect]:
-    """End what has not ended by the time of the handover.
+    """End all requests that are still open.
 
-    The caller of a completion is told where to go on; anything else may have run.
+    The caller of a completion gets the address at which to continue. Other requests end
+    as unknown, since they may have run.
     """
     for request in world.open_requests():
         if request.state is RequestState.ENDED:
@@ -199,7 +204,7 @@
         yield from conclude(world, request, outcome, now)
 
 
-def _stored_keys(world: World, now: float) -> Iterator[KeyMessage]:
+def _encoded_keys(world: World, now: float) -> Iterator[KeyMessage]:
     states = {
         KeyState.FINISHED: "finished",
         KeyState.RELEASED: "released",
@@ -226,7 +231,7 @@
     yield SendHandover(state.successor, state.peer, state.message)
 
 
-def _follow_acknowledgement(world: World, inbox: Inbox) -> Iterator[Effect]:
+def _process_acknowledgements(world: World, inbox: Inbox) -> Iterator[Effect]:
     for answered in inbox.of(HandoverAnswered):
         state = world.handover
         if state is None or answered.id != state.message.id:
@@ -236,31 +241,33 @@
             yield LogDecision(Decision.HANDOVER, (("acknowledged_by", answered.node),))
 
 
-def _done(world: World) -> bool:
+def _handover_acknowledged(world: World) -> bool:
     return world.handover is not None and world.handover.acknowledged
 
 
 def _stop(world: World, now: float) -> Iterator[Effect]:
-    clean = not _busy(world) and (_done(world) or not _has_memory(world))
-    if _done(world) and world.handover is not None:
+    clean = not _busy(world) and (
+        _handover_acknowledged(world) or not _has_state_to_hand_over(world)
+    )
+    if _handover_acknowledged(world) and world.handover is not None:
         world.me.successor = world.handover.successor
-    yield from _end_the_rest(world, None, now)
+    yield from _end_open_requests(world, None, now)
     world.phase = NodePhase.STOPPED
     world.me.status = MemberStatus.LEFT
     raise_version(world)
     yield LogDecision(Decision.DRAIN, (("step", "left"), ("clean", clean)))
-    yield from _tell(world, now)
+    yield from _announce(world, now)
     yield StopProcess(clean)
 
 
 def take_handovers(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Take over from peers that leave.
+    """Take over tickets, keys and requests from peers that leave.
 
     Notes
     -----
-    A repetition takes effect once: an incarnation that was adopted already is only
-    acknowledged again. A node that is leaving itself refuses, so that the rights
-    do not wander along a chain of leaving nodes.
+    A repeated handover has no further effect: it is only acknowledged again. A node
+    that is leaving refuses a handover, so that the rights to run tickets are not passed
+    along a chain of leaving nodes.
     """
     for received in inbox.of(HandoverReceived):
         handover = received.handover
@@ -269,20 +276,20 @@
             if world.phase is not NodePhase.SERVING:
                 yield Reply(received.call, HandoverReply(taken=False))
                 continue
-            yield from _adopt(world, handover, incarnation, now)
+            yield from _take_over(world, handover, incarnation, now)
         yield Reply(received.call, HandoverReply(taken=True))
 
 
-def _adopt(
+def _take_over(
     world: World, handover: HandoverMessage, incarnation: Incarnation, now: float
 ) -> Iterator[Effect]:
     world.inherited_incarnations[incarnation] = now
-    for stored in handover.keys:
-        key = TeamKey.of(stored.team, stored.key)
+    for encoded in handover.keys:
+        key = TeamKey.of(encoded.team, encoded.key)
         held = world.key_executions.get(key)
         if held is not None and held.state is not KeyState.RELEASED:
             continue
-        world.key_executions[key] = _key_execution(stored, now)
+        world.key_executions[key] = _key_execution(encoded, now)
     for row in handover.requests:
         request = decode_request(row, now)
         if request.id in world.requests:
@@ -306,7 +313,7 @@
 
 
 def _resume(world: World, request: Request, now: float) -> None:
-    """Queue a request that was handed over, with the right to run its key."""
+    """Queue a request that was handed over, and mark its key as owned by this node."""
     key = world.team_key(request)
     if key is not None:
         world.key_executions[key] = KeyExecution(
@@ -315,12 +322,12 @@
     requeue(world, request)
 
 
-def _key_execution(stored: KeyMessage, now: float) -> KeyExecution:
+def _key_execution(encoded: KeyMessage, now: float) -> KeyExecution:
     return KeyExecution(
-        state=KeyState(stored.state),
+        state=KeyState(encoded.state),
         request=RequestId(""),
-        fingerprint=stored.fingerprint,
-        changed_at=now - stored.age_s,
-        claim=None if stored.claim is None else Offset(stored.claim),
-        outcome=None if stored.outcome is None else decode_outcome(stored.outcome),
+        fingerprint=encoded.fingerprint,
+        changed_at=now - encoded.age_s,
+        claim=None if encoded.claim is None else Offset(encoded.claim),
+        outcome=None if encoded.outcome is None else decode_outcome(encoded.outcome),
     )
--- a/poplarrelay/systems/endpoint_monitoring.py
+++ b/poplarrelay/systems/endpoint_monitoring.py
@@ -1,4 +1,4 @@
-"""Keep the endpoint table: host list, load reports, notices."""
+"""Update the endpoint table from the host list, load reports and reclaim notices."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 __all__ = ["poll_endpoints", "receive_notices", "watch_hosts"]
 
-#: Seconds for which a failure domain is avoided after a notice in it.
+#: Seconds for which a failure domain is avoided after a reclaim notice in it.
 DOMAIN_AVOIDED_S = 60.0
-#: Seconds after the announced time at which an endpoint that is still listed as
-#: live, and still reports, counts as live again: the notice came to nothing.
+#: Seconds after the announced end at which a notice lapses if the endpoint is still
+#: listed as live and still reports. The endpoint then counts as live again.
 NOTICE_LAPSE_S = 20.0
-#: Polls in a row that fail before an endpoint gets no new work.
+#: Consecutive failed polls after which an endpoint gets no new work.
 POLL_FAILURES = 2
-#: Seconds that an endpoint gets no new work after failed polls.
+#: Seconds without new work for an endpoint after `POLL_FAILURES` failed polls.
 POLL_PAUSE_S = 2.0
 #: Seconds after its last request for which an endpoint counts as in use.
 IN_USE_S = 5.0
-#: Fewest peers that are told of a notice at once.
+#: Smallest number of peers to which a new notice is forwarded at once.
 MIN_FANOUT = 4
 
 
@@ -57,9 +57,9 @@
 
     Notes
     -----
-    With many endpoints each node uses its own part of them, chosen by rendezvous
-    hashing for each model or service, so that polls per node and per endpoint
-    stay bounded and a change of the list moves few of them.
+    If there are many endpoints, each node uses a part of them, chosen by rendezvous
+    hashing within each set of models or services. So the number of polls per node and
+    per endpoint stays bounded, and a change of the host list replaces few endpoints.
     """
     limit = world.settings.limits.watched_endpoints
     groups: dict[frozenset[str], list[HostRow]] = {}
@@ -73,25 +73,25 @@
 
 
 def watch_hosts(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Take the platform's host list, and ask for it again in time."""
+    """Merge the platform's host list, and request it again when it is due."""
     for listed in inbox.of(HostsListed):
         rows = _watched(world, listed.rows)
         names = {row.endpoint for row in rows}
         for row in rows:
-            yield from _list_endpoint(world, row, now)
+            yield from _update_listed(world, row, now)
         for endpoint in list(world.endpoints.values()):
             endpoint.listed = endpoint.id in names
             if not endpoint.listed and not endpoint.sent:
                 endpoint.state = EndpointState.GONE
                 del world.endpoints[endpoint.id]
-                yield _changed(endpoint, "unlisted")
+                yield _state_change(endpoint, "unlisted")
     if now >= world.next_hosts_at:
         interval = world.settings.timing.host_poll_s
         world.next_hosts_at = now + interval * (0.8 + 0.4 * world.rng.random())
         yield ListHosts()
 
 
-def _changed(endpoint: Endpoint, why: str) -> LogDecision:
+def _state_change(endpoint: Endpoint, why: str) -> LogDecision:
     fields = (
         ("endpoint", endpoint.id),
         ("domain", endpoint.domain),
@@ -101,7 +101,7 @@
     return LogDecision(Decision.ENDPOINT, fields)
 
 
-def _list_endpoint(world: World, row: HostRow, now: float) -> Iterator[Effect]:
+def _update_listed(world: World, row: HostRow, now: float) -> Iterator[Effect]:
     endpoint = world.endpoints.get(row.endpoint)
     if endpoint is None:
         endpoint = Endpoint(
@@ -115,27 +115,27 @@
             checks_fencing=row.checks_fencing,
         )
         world.endpoints[row.endpoint] = endpoint
-        yield _changed(endpoint, "listed")
+        yield _state_change(endpoint, "listed")
     endpoint.price = row.price
     if row.leaving:
         remaining = world.settings.timing.drain_s
         yield from _mark_leaving(
             world, endpoint, remaining, NoticeSource.HOST_LIST, now
         )
-    elif _lapsed(endpoint, now):
+    elif _notice_lapsed(endpoint, now):
         endpoint.state = EndpointState.LIVE
         endpoint.leaving_at = None
-        yield _changed(endpoint, "notice lapsed")
+        yield _state_change(endpoint, "notice lapsed")
 
 
-def _lapsed(endpoint: Endpoint, now: float) -> bool:
-    """Return whether a notice came to nothing.
+def _notice_lapsed(endpoint: Endpoint, now: float) -> bool:
+    """Return whether an endpoint still runs well after its announced end.
 
     Notes
     -----
-    The host list lags, so that it says "live" does not take back a notice. Only
-    well after the announced time, and if the endpoint itself still reports, is
-    it used again.
+    The host list is delayed, so an entry "live" alone does not cancel a notice. The
+    endpoint is used again only `NOTICE_LAPSE_S` seconds after the announced end, and
+    only if it still sends load reports.
     """
     if endpoint.state is not EndpointState.LEAVING or endpoint.leaving_at is None:
         return False
@@ -153,8 +153,8 @@
 ) -> Iterator[Effect]:
     leaving_at = now + max(0.0, remaining_s)
     if endpoint.state is EndpointState.LEAVING and endpoint.leaving_at is not None:
-        # A repetition may only bring the end forward: a late or replayed notice
-        # must not give an endpoint time that it does not have.
+        # A repeated notice can only bring the end forward. A delayed or replayed
+        # notice would otherwise postpone the end of an endpoint wrongly.
         endpoint.leaving_at = min(endpoint.leaving_at, leaving_at)
         return
     if endpoint.state is not EndpointState.LIVE:
@@ -162,7 +162,7 @@
     endpoint.state = EndpointState.LEAVING
     endpoint.leaving_at = leaving_at
     world.notified_domains[endpoint.domain] = now + DOMAIN_AVOIDED_S
-    yield _changed(endpoint, f"notice from {source.value}")
+    yield _state_change(endpoint, f"notice from {source.value}")
 
 
 def _affected(world: World, notice: NoticeReceived) -> list[Endpoint]:
@@ -173,28 +173,28 @@
 
 
 def receive_notices(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Mark leaving endpoints, and pass a first notice on at once.
+    """Mark endpoints as leaving, and forward each notice when it is first received.
 
     Notes
     -----
-    The platform may tell only some nodes, and its host list lags. The node that
-    hears first tells several peers, each of which does the same when it hears for
-    the first time, so the news reaches all nodes in a few round trips; the rounds
-    of probes carry it to those that were cut off.
+    The platform can send a notice to only some of the nodes, and its host list is
+    delayed. A node that receives a notice for the first time forwards it to several
+    peers, which do the same. So the notice reaches all nodes in a few round trips.
+    Nodes that were unreachable receive it with later probes.
     """
-    fresh = False
+    first_notice = False
     for notice in inbox.of(NoticeReceived):
         for endpoint in _affected(world, notice):
             was_live = endpoint.state is EndpointState.LIVE
             yield from _mark_leaving(
                 world, endpoint, notice.remaining_s, notice.source, now
             )
-            fresh = fresh or was_live
-    if fresh:
-        yield from _spread(world, now)
+            first_notice = first_notice or was_live
+    if first_notice:
+        yield from _forward_notices(world, now)
 
 
-def _spread(world: World, now: float) -> Iterator[Effect]:
+def _forward_notices(world: World, now: float) -> Iterator[Effect]:
     peers = [m.peers for m in world.members.values() if m.status is MemberStatus.ALIVE]
     fanout = max(MIN_FANOUT, ceil(2 * log2(len(peers) + 1)))
     chosen = world.rng.sample(peers, min(fanout, len(peers)))
@@ -205,7 +205,7 @@
 
 
 def poll_endpoints(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Take load reports, and ask for new ones in time."""
+    """Process load reports, and request new ones when they are due."""
     for reported in inbox.of(LoadReported):
         endpoint = world.endpoints.get(reported.endpoint)
         if endpoint is not None:
@@ -231,19 +231,19 @@
 
 
 def _poll_due(world: World, endpoint: Endpoint, now: float) -> float:
-    """Return when an endpoint's load is to be read next.
+    """Return the time at which an endpoint's load report is due.
 
     Notes
     -----
-    Load reports are most of an idle node's cost. An endpoint that this node has not
-    used for a while is read seldom; the first request sent there brings it back
-    to the short interval at once.
+    Load reports are the largest part of an idle node's cost. So an endpoint that this
+    node has not used for a while is polled at the longer `idle_poll_s`. The first
+    request sent to it restores the short interval at once.
     """
     timing = world.settings.timing
-    used = bool(endpoint.sent) or now - endpoint.used_at < IN_USE_S
-    unsettled = endpoint.report is None or endpoint.ordering
+    in_use = bool(endpoint.sent) or now - endpoint.used_at < IN_USE_S
+    state_unknown = endpoint.report is None or endpoint.ordering
     leaving = endpoint.state is not EndpointState.LIVE
     interval = timing.load_poll_s
-    if not (used or unsettled or leaving):
+    if not (in_use or state_unknown or leaving):
         interval = timing.idle_poll_s
     return endpoint.polled_at + interval * endpoint.poll_jitter
--- a/poplarrelay/systems/gossiping.py
+++ b/poplarrelay/systems/gossiping.py
@@ -1,4 +1,4 @@
-"""Rows that nodes tell each other, and how two accounts of a node are merged."""
+"""Create the rows that nodes gossip, and merge the rows of other nodes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 __all__ = ["current_notices", "gossip_rows", "merge_row", "own_row", "raise_version"]
 
-#: Rows that one message carries.
+#: Largest number of rows in one message.
 MAX_ROWS = 8
-#: Times that a changed row is passed on.
-MAX_TOLD = 12
+#: Number of messages in which a changed row is sent.
+MAX_SENDS = 12
 
 
 def own_row(world: World, now: float) -> MemberRow:
-    """Return this node's own row, brought up to date."""
+    """Return this node's own row after updating its epoch, clock and offset."""
     me = world.me
     me.epoch = world.epoch(now)
     me.clock = now - world.started_at
@@ -27,12 +27,12 @@
 
 
 def raise_version(world: World) -> None:
-    """Make this node's own row newer than all that was said of it before."""
+    """Make this node's own row newer than all its earlier versions."""
     world.me.version += 1
 
 
 def current_notices(world: World, now: float) -> tuple[NoticeRow, ...]:
-    """Return the endpoints known to be leaving."""
+    """Return a notice for each endpoint that is known to be leaving."""
     return tuple(
         NoticeRow(endpoint=e.id, remaining_s=max(0.0, e.leaving_at - now))
         for e in world.endpoints.values()
@@ -41,17 +41,17 @@
 
 
 def gossip_rows(world: World, full: bool) -> tuple[MemberRow, ...]:
-    """Return the member rows to pass on, those told least often first.
+    """Return the member rows to send, the least often sent first.
 
     Notes
     -----
-    A message carries a bounded number of rows, and a row is passed on a bounded
-    number of times after it changed, so the cost per node does not grow with the
-    number of nodes.
+    A message has a bounded number of rows, and a row is sent a bounded number of times
+    after it has changed. So the cost per node does not grow with the number of nodes.
+    With `full`, all rows are returned.
     """
     members = list(world.members.values())
     if not full:
-        members = [m for m in members if m.told < MAX_TOLD]
+        members = [m for m in members if m.told < MAX_SENDS]
         members.sort(key=lambda m: m.told)
         members = members[:MAX_ROWS]
     for member in members:
@@ -68,20 +68,20 @@
 
 
 def merge_row(world: World, row: MemberRow, now: float) -> Member | None:
-    """Merge what a peer said of a node.
+    """Merge a row that a peer sent about a node.
 
     Returns
     -------
     member : Member or None
-        The row, if it told something new.
+        The merged row if it is newer than the known one, None otherwise.
 
     Notes
     -----
-    Only a node itself raises its version. So a suspicion is undone only by the
-    suspected node, and an old account cannot bring back a node that has left.
+    Only a node itself raises its version. So only the suspected node can refute a
+    suspicion, and an old row cannot restore a node that has left.
     """
     if row.node == world.node:
-        _hear_of_self(world, row)
+        _merge_own_row(world, row)
         return None
     member = decode_member(row, now)
     known = world.members.get(NodeId(row.node))
@@ -101,18 +101,18 @@
     return member
 
 
-def _hear_of_self(world: World, row: MemberRow) -> None:
-    """Deny a suspicion, or outrank an older process under this node's name."""
+def _merge_own_row(world: World, row: MemberRow) -> None:
+    """Refute a suspicion, or supersede an older process with this node's name."""
     me = world.me
     if row.incarnation != me.incarnation:
         if row.generation >= me.generation:
             me.generation = row.generation + 1
             raise_version(world)
         return
-    said = MemberStatus(row.status)
-    doubted = said in (MemberStatus.SUSPECT, MemberStatus.DEAD)
-    if said is MemberStatus.DEAD:
+    reported_status = MemberStatus(row.status)
+    reported_as_failed = reported_status in (MemberStatus.SUSPECT, MemberStatus.DEAD)
+    if reported_status is MemberStatus.DEAD:
         for copy in world.sent_copies.values():
             copy.maybe_taken_over = True
-    if row.version >= me.version and (doubted or row.version > me.version):
+    if row.version >= me.version and (reported_as_failed or row.version > me.version):
         me.version = row.version + 1
--- a/poplarrelay/systems/leasing.py
+++ b/poplarrelay/systems/leasing.py
@@ -1,13 +1,13 @@
-"""Take, renew and give up duties by leases on the log.
+"""Acquire, renew and release duties by leases in the log.
 
 Notes
 -----
-A lease is a record; its offset is its fencing number. The holder counts the term from
-before it sent the record, on its own monotonic clock. Others take over only when a
-whole term and a margin have passed since they have read it, on theirs. As clocks run
-at nearly the same speed, the holder has stopped before anyone else begins. The margin
-is longer than an order can take, so that an order sent at the last moment has arrived
-or timed out by then.
+A lease is a log record, and the offset of the record is its fencing token. The holder
+counts the term from before it sent the record, on its own monotonic clock. Another
+node takes over only when a complete term and a margin have passed on its own clock
+since it read the record. Clocks run at nearly the same speed, so the holder has stopped
+before another node begins. The margin is longer than an order can take. So an order
+that the holder sent at the last moment has arrived or timed out by then.
 
 References
 ----------
@@ -26,16 +26,17 @@
 from poplarrelay.tables.leases import Duty, Lease, LeaseRequest
 from poplarrelay.tables.world import CONFIGURATION, NodePhase, World
 
-__all__ = ["fencing_number", "fold_lease", "keep_leases", "remaining_term"]
+__all__ = ["fencing_token", "fold_lease", "keep_leases", "remaining_term"]
 
-#: Longest random wait before a free duty is taken, so that not all nodes try.
+#: Longest random delay in seconds before a node requests a free duty, so that not all
+#: nodes request it.
 TAKE_JITTER_S = 1.0
-#: Share of the term after which it is renewed.
+#: Fraction of the term after which a lease is renewed.
 RENEW_SHARE = 0.33
 
 
 def fold_lease(world: World, record: Record, now: float) -> Iterator[Effect]:
-    """Fold a lease record; it counts only if it replaces the one in force."""
+    """Fold a lease record; it counts only if it replaces the lease in force."""
     value = record.value
     if not isinstance(value, LeaseRecord):
         return
@@ -67,8 +68,8 @@
 
     Notes
     -----
-    Only a record that was read back counts: until then another one may have come
-    before it.
+    Only a lease record that was read back from the log counts. Until then, another
+    node's record may be before it in the log.
     """
     lease = world.leases.get(duty.value)
     if lease is None or lease.incarnation != world.incarnation:
@@ -79,42 +80,44 @@
     return max(0.0, lease_request.counted_from + lease_request.term_s - now)
 
 
-def fencing_number(world: World, duty: Duty) -> Offset | None:
-    """Return the fencing number of the lease in force, None if there is none."""
+def fencing_token(world: World, duty: Duty) -> Offset | None:
+    """Return the fencing token of the lease in force, None if there is none."""
     lease = world.leases.get(duty.value)
     return None if lease is None else lease.offset
 
 
 def keep_leases(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Renew what this node holds, take what is free, give up when leaving."""
+    """Renew this node's leases, request free ones, and release them when leaving."""
     position = world.streams[CONFIGURATION]
     if not position.caught_up or not position.available:
         return
     for duty in Duty:
         if world.phase is NodePhase.DRAINING:
-            yield from _give_up(world, duty, now)
+            yield from _release_lease(world, duty, now)
         elif world.me.ready:
-            yield from _keep(world, duty, now)
-    _forget_bids(world, now)
+            yield from _keep_lease(world, duty, now)
+    _forget_lease_requests(world, now)
 
 
-def _keep(world: World, duty: Duty, now: float) -> Iterator[Effect]:
+def _keep_lease(world: World, duty: Duty, now: float) -> Iterator[Effect]:
     term_s = world.settings.timing.lease_term_s
-    left = remaining_term(world, duty, now)
-    if left > 0.0:
-        if left < (1.0 - RENEW_SHARE) * term_s and _may_bid(world, duty, now):
-            yield from _bid(world, duty, term_s, now)
+    remaining = remaining_term(world, duty, now)
+    if remaining > 0.0:
+        if remaining < (1.0 - RENEW_SHARE) * term_s and _may_request(world, duty, now):
+            yield from _request_lease(world, duty, term_s, now)
         return
-    if not _free(world, duty, now):
+    if not _lease_expired(world, duty, now):
         world.take_at.pop(duty.value, None)
         return
-    at = world.take_at.setdefault(duty.value, now + world.rng.random() * TAKE_JITTER_S)
-    if now >= at and _may_bid(world, duty, now):
-        yield from _bid(world, duty, term_s, now)
+    due_at = world.take_at.setdefault(
+        duty.value, now + world.rng.random() * TAKE_JITTER_S
+    )
+    if now >= due_at and _may_request(world, duty, now):
+        yield from _request_lease(world, duty, term_s, now)
 
 
-def _free(world: World, duty: Duty, now: float) -> bool:
-    """Return whether the holder's term is over for certain."""
+def _lease_expired(world: World, duty: Duty, now: float) -> bool:
+    """Return whether the term of the lease is certainly over for its holder."""
     lease = world.leases.get(duty.value)
     if lease is None or lease.term_s == 0.0:
         return True
@@ -122,12 +125,14 @@
     return now >= lease.read_at + lease.term_s + margin
 
 
-def _may_bid(world: World, duty: Duty, now: float) -> bool:
-    """Return whether no record of this node for the duty is on its way."""
+def _may_request(world: World, duty: Duty, now: float) -> bool:
+    """Return whether this node has no recent lease record for the duty in flight."""
     return now >= world.next_bid_at.get(duty.value, float("-inf"))
 
 
-def _bid(world: World, duty: Duty, term_s: float, now: float) -> Iterator[Effect]:
+def _request_lease(
+    world: World, duty: Duty, term_s: float, now: float
+) -> Iterator[Effect]:
     record = world.new_record_id()
     current = world.leases.get(duty.value)
     world.lease_requests[record] = LeaseRequest(record, now, term_s)
@@ -144,14 +149,14 @@
     yield AppendRecord(CONFIGURATION, value, until)
 
 
-def _give_up(world: World, duty: Duty, now: float) -> Iterator[Effect]:
-    """Give a duty up, so that another node need not wait for its term to end."""
+def _release_lease(world: World, duty: Duty, now: float) -> Iterator[Effect]:
+    """Release a duty, so that another node need not wait for the end of its term."""
     if remaining_term(world, duty, now) > 0.0 and duty.value not in world.given_up:
         world.given_up.add(duty.value)
-        yield from _bid(world, duty, 0.0, now)
+        yield from _request_lease(world, duty, 0.0, now)
 
 
-def _forget_bids(world: World, now: float) -> None:
+def _forget_lease_requests(world: World, now: float) -> None:
     limit = 4 * world.settings.timing.lease_term_s
     for record, lease_request in list(world.lease_requests.items()):
         if now - lease_request.counted_from > limit:
--- a/poplarrelay/systems/limits.py
+++ b/poplarrelay/systems/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of a team: queue, running requests, retries."""
+"""Limits per team: queued requests, running requests and retries."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     "spend_retry",
 ]
 
-#: Lowest and highest hint for coming back after a full queue, in seconds.
+#: Shortest and longest time before a retry after a full queue, in seconds.
 QUEUE_RETRY_RANGE_S = (0.5, 10.0)
-#: Seconds that one waiting request adds to that hint.
+#: Seconds that each queued request adds to the time before a retry.
 QUEUE_RETRY_STEP_S = 0.02
 #: Smallest retry budget of a team, in retries.
 MIN_RETRY_BUDGET = 10.0
-#: What a node takes above an equal share of a team's limit.
+#: Factor on an equal share of a team's limit that a node can use.
 SHARE_SLACK = 1.25
 
 
@@ -42,15 +42,15 @@
 
     Notes
     -----
-    Callers spread over the nodes that discovery names, so an equal share keeps
-    the sum near the limit with no message between nodes on a request's path. The
-    slack lets a node take a chance majority of the team's callers.
+    Callers spread over the nodes that discovery lists, so equal shares keep the sum
+    near the limit, and no request waits for messages between nodes. The slack covers
+    the case that by chance more of the team's callers use this node.
     """
     return max(1, ceil(SHARE_SLACK * limit / ready_nodes(world)))
 
 
 def ready_nodes(world: World) -> int:
-    """Return the nodes that take work, this one included."""
+    """Return the number of nodes that accept work, including this one."""
     others = (
         member.status is MemberStatus.ALIVE and member.ready
         for member in world.members.values()
@@ -59,13 +59,13 @@
 
 
 def exceeds_fair_share(world: World, team: TeamId) -> bool:
-    """Return whether a team runs more from this node than its fair share.
+    """Return whether a team has used up its fair share of this node's slots.
 
     Notes
     -----
-    The fair share is the node's part of all slots, divided among the deployed
-    teams by priority. A team may run more as long as there is room; it only loses
-    the right to the last slots.
+    The fair share is the node's part of all slots, divided among the deployed teams by
+    priority. A team can run more requests while slots are free, but it cannot use the
+    slots reserved for other teams.
     """
     policies = world.configuration.policies
     policy = policies.get(team)
@@ -86,7 +86,7 @@
 
 
 def queue_refusal(world: World, team: TeamId) -> NotRun | None:
-    """Return the outcome for one more waiting request, None if it fits."""
+    """Return the outcome of a request that exceeds the queue limit, None if it fits."""
     policy = _policy(world, team)
     usage = world.team_usage(team)
     if policy is None or usage.queued < node_share(world, policy.max_queued):
@@ -97,12 +97,12 @@
 
 
 def answer_store_full(world: World) -> bool:
-    """Return whether no more answers can be kept for callers that come back.
+    """Return whether no more answers can be kept for later requests of callers.
 
     Notes
     -----
-    What ran under a key must be remembered for as long as the key may be used
-    again. So when the memory is full, new keys are refused and none is forgotten.
+    The outcome of a key must be kept as long as callers can use the key again. So when
+    the store is full, new keys are refused, and no kept answer is removed.
     """
     limits = world.settings.limits
     return (
@@ -112,7 +112,7 @@
 
 
 def enqueue(world: World, request: Request, now: float) -> Iterator[Effect]:
-    """Put a request that may run into its team's queue, or end it as not run."""
+    """Add a request to its team's queue, or end it as not run if the queue is full."""
     refusal = queue_refusal(world, request.team)
     if refusal is None:
         requeue(world, request)
@@ -121,26 +121,26 @@
 
 
 def running_limit(world: World, team: TeamId) -> int:
-    """Return how many requests of a team may run from this node."""
+    """Return how many requests of a team can run from this node at a time."""
     policy = _policy(world, team)
     return 0 if policy is None else node_share(world, policy.max_running)
 
 
 def fill_retry_budget(world: World, policy: TeamPolicy) -> None:
-    """Let an accepted request add to its team's retry budget."""
+    """Add an accepted request's share to its team's retry budget."""
     usage = world.team_usage(policy.team)
     bound = max(MIN_RETRY_BUDGET, float(node_share(world, policy.max_running)))
     usage.retry_tokens = min(bound, usage.retry_tokens + policy.retry_ratio)
 
 
 def spend_retry(world: World, team: TeamId) -> bool:
-    """Take one retry from the team's budget; False if there is none.
+    """Take one retry from the team's budget; return False if the budget is used up.
 
     Notes
     -----
-    When many endpoints fail at once, every request in flight wants a retry. The
-    budget bounds the attempts that this adds, so the endpoints that are left are
-    not overloaded as well.
+    When many endpoints fail at once, all their requests in flight need a retry. The
+    budget bounds the additional attempts, so the remaining endpoints are not overloaded
+    as well.
     """
     usage = world.team_usage(team)
     if usage.retry_tokens < 1.0:
--- a/poplarrelay/systems/moving.py
+++ b/poplarrelay/systems/moving.py
@@ -1,12 +1,13 @@
-"""Take running work off endpoints that are leaving.
+"""Move running requests away from endpoints that are leaving.
 
 Notes
 -----
-For each running attempt the cheapest way that fits into the announced time is
-taken: finish in place, move the engine's KV cache, or compute again elsewhere.
-Finishing costs nothing; moving costs transfer time; computing again costs the
-prompt and the tokens so far. Work that must not be repeated always finishes in
-place, since any other way might run it twice.
+For each running attempt, the cheapest method that fits into the announced time is
+chosen: finish at the endpoint, move the engine's KV cache, or recompute at another
+endpoint. Finishing has no cost, moving the cache costs transfer time, and recomputing
+costs the prompt tokens and the tokens produced so far. Requests to services always
+finish at the endpoint: their work may not be repeatable, and any other method could run
+it twice.
 """
 
 from __future__ import annotations
@@ -36,25 +37,25 @@
 )
 from poplarrelay.tables.world import World
 
-__all__ = ["choose_way", "move_attempts"]
+__all__ = ["choose_method", "move_attempts"]
 
-#: Share of the announced time within which an answer must be predicted to end
-#: for it to stay; the rest is room for a wrong prediction.
+#: Fraction of the announced time within which an answer must be predicted to end for
+#: its request to stay. The rest is a margin for prediction errors.
 FINISH_SHARE = 0.6
-#: Share of the announced time that moving a cache may take.
+#: Largest fraction of the announced time that moving a cache can take.
 MOVE_SHARE = 0.5
 #: Fixed time of moving a cache, in seconds.
 MOVE_SETUP_S = 0.1
 
 
-def choose_way(
+def choose_method(
     request: Request,
     endpoint: Endpoint,
     kv_tokens_per_s: float,
     now: float,
     policy: MovePolicy = MovePolicy.CHEAPEST,
 ) -> MoveMethod:
-    """Return how a running attempt leaves an endpoint.
+    """Return the method by which a running request leaves an endpoint.
 
     Parameters
     ----------
@@ -63,11 +64,11 @@
     endpoint : Endpoint
         An endpoint that is leaving.
     kv_tokens_per_s : float
-        Speed at which cached tokens move between engines.
+        Cached tokens per second that are transferred between engines.
     now : float
         Monotonic time.
     policy : MovePolicy
-        The operators' choice.
+        Policy that the operators have set.
     """
     if request.work.kind is WorkKind.SERVICE or endpoint.leaving_at is None:
         return MoveMethod.FINISH
@@ -77,13 +78,15 @@
         return MoveMethod.MOVE_CACHE
     remaining = endpoint.leaving_at - now
     report = endpoint.report or DEFAULT_REPORT
-    left = max(0, request.work.max_tokens - request.tokens) * report.step_s
+    remaining_run_s = max(0, request.work.max_tokens - request.tokens) * report.step_s
     if request.first_token_at is None:
-        left += request.work.prompt_tokens / max(1.0, report.prefill_tokens_per_s)
-    if left <= FINISH_SHARE * remaining:
+        remaining_run_s += request.work.prompt_tokens / max(
+            1.0, report.prefill_tokens_per_s
+        )
+    if remaining_run_s <= FINISH_SHARE * remaining:
         return MoveMethod.FINISH
     if request.first_token_at is None:
-        # Nothing has been computed that would be worth moving.
+        # The engine has computed nothing that is worth moving.
         return MoveMethod.RECOMPUTE
     context = request.work.prompt_tokens + request.tokens
     if MOVE_SETUP_S + context / kv_tokens_per_s <= MOVE_SHARE * remaining:
@@ -92,13 +95,13 @@
 
 
 def move_attempts(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Decide for each attempt on a leaving endpoint, in every tick anew.
+    """Choose a method for each attempt at a leaving endpoint, in every tick.
 
     Notes
     -----
-    An answer that was to finish in place and turns out slower is moved while
-    there is still time. Targets are chosen as for new work, so moves spread over
-    what is left, and domains under notice are avoided.
+    An answer that was expected to finish at the endpoint but is slower is moved while
+    there is still time. Targets are chosen as for new requests, so moves spread over
+    the remaining endpoints and avoid failure domains under notice.
     """
     for endpoint in list(world.endpoints.values()):
         if endpoint.state is not EndpointState.LEAVING:
@@ -106,19 +109,19 @@
         for request_id in list(endpoint.sent):
             request = world.requests.get(request_id)
             if request is not None and request.state is RequestState.DISPATCHED:
-                yield from _leave(world, request, endpoint, now)
+                yield from _move_attempt(world, request, endpoint, now)
 
 
-def _leave(
+def _move_attempt(
     world: World, request: Request, endpoint: Endpoint, now: float
 ) -> Iterator[Effect]:
     limits = world.settings.limits
     speed, policy = limits.kv_tokens_per_s, limits.move_policy
-    way = choose_way(request, endpoint, speed, now, policy)
-    if way is MoveMethod.FINISH:
+    method = choose_method(request, endpoint, speed, now, policy)
+    if method is MoveMethod.FINISH:
         return
-    # Fair shares are for new work. Work that runs already must find a place before
-    # its endpoint goes, also in the slots that are kept for other teams.
+    # Fair shares apply only to new requests. A running request must move before its
+    # endpoint ends, so it can also use slots that are reserved for other teams.
     criteria = replace(criteria_for(world, request, now), exceeds_fair_share=False)
     endpoints = list(world.endpoints.values())
     choice = choose_endpoint(endpoints, request, criteria, world.rng)
@@ -126,19 +129,19 @@
         return
     endpoint.note_ended(request.id, now)
     recomputed = 0
-    if way is MoveMethod.RECOMPUTE and request.first_token_at is not None:
+    if method is MoveMethod.RECOMPUTE and request.first_token_at is not None:
         recomputed = request.work.prompt_tokens + request.tokens
     attempt = create_attempt(world, request, choice, recomputed, now)
     yield LogDecision(
         Decision.MOVE,
         (
             ("request", request.id),
-            ("way", way.value),
+            ("way", method.value),
             ("from", endpoint.id),
             ("to", choice.endpoint.id),
             ("tokens", request.tokens),
             ("remaining_s", round((endpoint.leaving_at or now) - now, 3)),
         ),
     )
-    yield IncrementCounter(Metric.MOVES, labels=(("way", way.value),))
-    yield MoveAttempt(request.id, MovePlan(way, attempt))
+    yield IncrementCounter(Metric.MOVES, labels=(("way", method.value),))
+    yield MoveAttempt(request.id, MovePlan(method, attempt))
--- a/poplarrelay/systems/placing.py
+++ b/poplarrelay/systems/placing.py
@@ -1,12 +1,13 @@
-"""Decide which models each engine has loaded, and give the orders.
+"""Decide which models each engine loads, and send the orders.
 
 Notes
 -----
-Only the holder of the placement duty gives orders. An order states the whole target
-and bears the lease's fencing number. An engine that checks the number refuses the
-order of an earlier holder. One that does not may take such an order late, from a
-process that was paused right before it sent; the load report then shows a state that
-is not the target, and the holder orders again until it is.
+Only the holder of the placement duty sends orders. An order lists all models that the
+engine is to have and the fencing token of the lease. An engine that checks the token
+refuses an order of an earlier holder. An engine that does not check it can accept such
+an order late, if the earlier holder was paused right before it sent the order. The
+load report then differs from the target, and the current holder repeats its order
+until they agree.
 """
 
 from __future__ import annotations
@@ -20,19 +21,19 @@
 from poplarrelay.messages.effects import Decision, Effect, LogDecision, SendModelOrder
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.platform import OrderAnswered
-from poplarrelay.systems.leasing import fencing_number, remaining_term
+from poplarrelay.systems.leasing import fencing_token, remaining_term
 from poplarrelay.tables.endpoints import Endpoint, EndpointKind, EndpointState
 from poplarrelay.tables.leases import Duty
 from poplarrelay.tables.world import World
 
 __all__ = ["place_models", "send_model_orders", "wanted_runners"]
 
-#: Orders whose models may be loading at a time, since the weight store is limited.
+#: Orders for models in progress at a time; the weight store's capacity is limited.
 MAX_LOADING = 2
-#: Seconds until an order that did not show in the load report is repeated.
+#: Seconds until an order is repeated if the load report does not show its models.
 ORDER_REPEAT_S = 1.5
-#: Longest report age at which an engine's state is judged, in seconds.
-FRESH_REPORT_S = 6.0
+#: Age in seconds above which a load report is too old to decide on an order.
+MAX_REPORT_AGE_S = 6.0
 
 
 def wanted_runners(templates: Iterable[Template]) -> dict[str, int]:
@@ -58,14 +59,14 @@
     endpoints : iterable of Endpoint
         All endpoints; only live engines are used.
     wanted : dict of str to int
-        Engines that each model needs.
+        Number of engines that each model needs.
 
     Notes
     -----
-    An engine that has the model already is kept, then the failure domain with the
-    fewest runners of the model is filled first, then the cheapest engine. The same
-    tables give the same placement on every node, so a new holder of the duty does
-    not move anything.
+    Engines that have the model loaded are chosen first. Then the order is: the failure
+    domain with the fewest runners of the model, the engine with the fewest target
+    models, the lowest price. Equal tables give the same placement on every node, so a
+    new holder of the duty moves no model.
     """
     engines = [
         e
@@ -74,11 +75,11 @@
     ]
     targets = {e.id: set(e.loaded or ()) - set(wanted) for e in engines}
     for model, runners in sorted(wanted.items()):
-        able = [e for e in engines if model in e.names]
+        candidates = [e for e in engines if model in e.names]
         in_domain: CountOf[DomainId] = CountOf()
-        for _ in range(min(runners, len(able))):
+        for _ in range(min(runners, len(candidates))):
             chosen = min(
-                able,
+                candidates,
                 key=lambda e: (
                     model not in (e.loaded or ()),
                     in_domain[e.domain],
@@ -87,14 +88,14 @@
                     _score(model, e.id),
                 ),
             )
-            able.remove(chosen)
+            candidates.remove(chosen)
             in_domain[chosen.domain] += 1
             targets[chosen.id].add(model)
     return {endpoint: frozenset(models) for endpoint, models in targets.items()}
 
 
 def send_model_orders(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Order what the engines should have loaded, if this node holds the duty."""
+    """Order each engine to load its models, if this node holds the placement duty."""
     for answered in inbox.of(OrderAnswered):
         endpoint = world.endpoints.get(answered.endpoint)
         if endpoint is not None:
@@ -104,8 +105,8 @@
                 (("endpoint", endpoint.id), ("order_taken", answered.taken)),
             )
     timeout = world.settings.timing.order_timeout_s
-    left = remaining_term(world, Duty.PLACEMENT, now)
-    if left <= 2 * timeout:
+    remaining = remaining_term(world, Duty.PLACEMENT, now)
+    if remaining <= 2 * timeout:
         return
     templates = [
         entry.value
@@ -116,16 +117,18 @@
     if not wanted:
         return
     targets = place_models(world.endpoints.values(), wanted)
-    expires_at = now + left - 2 * timeout
+    expires_at = now + remaining - 2 * timeout
     for endpoint_id, models in sorted(targets.items()):
-        yield from _order(world, world.endpoints[endpoint_id], models, expires_at, now)
+        yield from _order_models(
+            world, world.endpoints[endpoint_id], models, expires_at, now
+        )
 
 
-def _loading(world: World) -> int:
+def _orders_in_flight(world: World) -> int:
     return sum(1 for endpoint in world.endpoints.values() if endpoint.ordering)
 
 
-def _order(
+def _order_models(
     world: World,
     endpoint: Endpoint,
     models: frozenset[str],
@@ -135,11 +138,11 @@
     if endpoint.loaded is None or endpoint.loaded == models or endpoint.ordering:
         return
     reported_at = endpoint.reported_at
-    if reported_at is None or now - reported_at > FRESH_REPORT_S:
+    if reported_at is None or now - reported_at > MAX_REPORT_AGE_S:
         return
-    if now < endpoint.next_order_at or _loading(world) >= MAX_LOADING:
+    if now < endpoint.next_order_at or _orders_in_flight(world) >= MAX_LOADING:
         return
-    fencing = fencing_number(world, Duty.PLACEMENT)
+    fencing = fencing_token(world, Duty.PLACEMENT)
     if fencing is None:
         return
     endpoint.ordering = True
--- a/poplarrelay/systems/reporting.py
+++ b/poplarrelay/systems/reporting.py
@@ -1,4 +1,4 @@
-"""Answer questions about the node itself."""
+"""Answer operators' requests for the node's status and configuration history."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """A node's view of itself and of the others.
+    """State of a node, and of the other nodes and endpoints as it knows them.
 
     Attributes
     ----------
     configuration_next : int
-        Offset after the newest configuration record folded.
+        Offset after the newest folded configuration record.
     in_force : dict of str to int
         Offset in force for each template and deployment.
     members : dict of str to dict
         Status, failure domain and configuration offset of each other node.
     endpoints : dict of str to dict
-        State, failure domain and running attempts of this node.
+        State, failure domain and number of this node's running attempts, by endpoint.
     requests : dict of str to int
         Requests by state.
     duties : dict of str to dict
-        Holder and fencing number of each duty's lease.
+        Holder and fencing token of each duty's lease.
     """
 
     node: str
@@ -52,11 +52,11 @@
 
 
 def answer_status(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Answer operators who ask for the node's view."""
+    """Reply to requests for the node's status or its configuration history."""
     for asked in inbox.of(StatusAsked):
         yield Reply(asked.call, _status(world))
-    for wanted in inbox.of(HistoryAsked):
-        yield Reply(wanted.call, tuple(world.configuration.history))
+    for history_request in inbox.of(HistoryAsked):
+        yield Reply(history_request.call, tuple(world.configuration.history))
 
 
 def _status(world: World) -> NodeStatus:
--- a/poplarrelay/systems/snapshotting.py
+++ b/poplarrelay/systems/snapshotting.py
@@ -1,12 +1,13 @@
-"""Write the configuration again before the log trims it.
+"""Write snapshots of the configuration before the log trims its records.
 
 Notes
 -----
-The log keeps records for a limited time. The node that holds the duty writes all that
-is in force as a snapshot that names the offset up to which it covers. A snapshot is
-only a base for nodes that start or that have missed trimmed records, and every record
-from the covered offset on is folded on top of it. So a snapshot that was written late,
-by a writer that was paused, or while a change raced it, never undoes anything.
+The log keeps records for a limited time. The node that holds the snapshots duty writes
+the configuration and leases in force as a snapshot, with the offset up to which it
+covers the log. Nodes start from a snapshot only if they start or have missed trimmed
+records, and they fold every record from the covered offset on. So a snapshot never
+reverts a change, even if its writer was paused or a change was appended at the same
+time.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 __all__ = ["write_snapshots"]
 
-#: Seconds that a snapshot may take to be appended.
+#: Seconds within which a snapshot must be appended.
 SNAPSHOT_TIMEOUT_S = 5.0
 
 
 def write_snapshots(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
-    """Write a snapshot in time, if this node holds the duty."""
+    """Write a snapshot when one is due, if this node holds the snapshots duty."""
     if remaining_term(world, Duty.SNAPSHOTS, now) < SNAPSHOT_TIMEOUT_S:
         return
     if now < world.next_snapshot_at:
--- a/poplarrelay/systems/tests/test_leasing.py
+++ b/poplarrelay/systems/tests/test_leasing.py
@@ -8,7 +8,7 @@
 from poplarrelay.messages.platform import RecordsRead
 from poplarrelay.messages.records import LeaseRecord, Record
 from poplarrelay.systems.configuring import fold_configuration
-from poplarrelay.systems.leasing import fencing_number, keep_leases, remaining_term
+from poplarrelay.systems.leasing import fencing_token, keep_leases, remaining_term
 from poplarrelay.tables.leases import Duty
 from poplarrelay.tables.world import CONFIGURATION, NodePhase, World
 from poplarrelay.testing.worlds import make_settings
@@ -18,7 +18,7 @@
 
 
 def fencing(world):
-    number = fencing_number(world, DUTY)
+    number = fencing_token(world, DUTY)
     assert number is not None
     return number
 
