--- a/poplarrelay/systems/tests/test_capacity.py
+++ b/poplarrelay/systems/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Starting and stopping hosts: by demand and price, nothing doubled or forgotten."""
+"""Test that hosts start and stop by demand and price, each exactly once."""
 
 import pytest
 
@@ -47,13 +47,13 @@
     )
 
 
-def test_starts_are_cheap_and_spread():
+def test_hosts_start_with_the_cheapest_offer_and_in_different_domains():
     starts = plan([], 20.0).starts
     assert [offer.machine_class for _, offer in starts] == ["spot", "spot"]
     assert len({domain for domain, _ in starts}) == 2
 
 
-def test_few_hosts_start_at_a_time():
+def test_at_most_two_hosts_start_at_a_time():
     assert len(plan([], 200.0).starts) == 2
     assert not plan([host(1, starting=True), host(2, starting=True)], 200.0).starts
 
@@ -69,43 +69,44 @@
     assert plan([], 50.0, refused=refused).starts == ()
 
 
-def test_the_base_cannot_be_reclaimed():
+def test_base_hosts_start_on_machines_that_are_not_reclaimable():
     starts = plan([], 10.0, base_hosts=1).starts
     assert starts[0][1].machine_class == "fixed"
 
 
-def test_urgent_work_survives_the_loss_of_a_domain():
+def test_urgent_demand_adds_a_host_for_the_loss_of_a_domain():
     hosts = [host(1, "east"), host(1, "west"), host(1, "north")]
     assert not plan(hosts, 30.0).starts
     assert len(plan(hosts, 30.0, urgent=30.0).starts) == 1
 
 
-def test_the_dearest_spare_host_is_stopped_first():
+def test_the_most_expensive_spare_host_is_stopped_first():
     hosts = [host(1, "east"), host(1, "west", "fixed"), host(2, "east")]
     stops = plan([*hosts, host(1, "north")], 10.0).stops
     assert [h.machine_class for h in stops] == ["fixed"]
 
 
-def test_the_base_is_not_stopped():
+def test_base_hosts_are_not_stopped():
     hosts = [host(1, "east", "fixed"), host(1, "west"), host(2, "west")]
     stops = plan([*hosts, host(1, "north")], 10.0, base_hosts=1).stops
     assert [h.machine_class for h in stops] == ["spot"]
 
 
-def test_a_small_swing_stops_nothing():
+def test_one_spare_host_is_not_stopped():
     assert plan([host(1), host(2)], 10.0).stops == ()
 
 
-def test_a_token_comes_from_the_list_and_not_from_memory():
+def test_a_token_has_the_lowest_number_that_is_not_listed():
     taken = {"small.east.spot.1", "small.east.spot.3"}
     token = _free_token("small", DomainId("east"), "spot", taken)
     assert token == "small.east.spot.2"
 
 
 @pytest.mark.processes
-def test_lost_answers_and_refusals_start_no_host_twice_and_forget_none():
-    # The holder wants four hosts. Answers of the first starts are lost after they
-    # took effect, and the holder crashes; then starts are refused for a while.
+def test_lost_answers_and_refusals_start_each_host_exactly_once():
+    # Guards against hosts that are started twice or never. The holder needs four hosts.
+    # The answers to the first starts are lost after the starts took effect, and the
+    # holder crashes. Then the cloud refuses starts for a while.
     capacity = [{**policy(min_hosts=4).model_dump(mode="json")}]
     timing = {"lease_term_s": 5.0, "lease_margin_s": 1.0, "order_timeout_s": 0.5}
     with run_site(
@@ -115,7 +116,7 @@
         cloud = site.platform["cloud"]
 
         def started():
-            # A busy machine may leave one question without an answer in time.
+            # On a busy machine a request can time out.
             return wait_until(lambda: site.get(cloud, "/starts"))
 
         def tokens():
--- a/poplarrelay/systems/tests/test_configuration_fold.py
+++ b/poplarrelay/systems/tests/test_configuration_fold.py
@@ -1,10 +1,10 @@
-"""All folds agree and nothing reverts: a state machine over the configuration.
+"""Test with a state machine that all nodes fold the same configuration.
 
-Operators publish through different nodes and race one another. Answers of appends are
-lost and repeated, old records are put back, the log trims what it keeps, snapshots are
-written late by paused writers, nodes start again and learn from the log or from peers.
-Whatever a node has folded must equal the fold of the whole log up to there, and no
-subject's offset may ever go down on a node.
+Operators publish concurrently through different nodes. Answers to appends are lost and
+the records are sent again, old records are appended again, and the log trims its oldest
+records. Paused writers append snapshots late. Nodes restart and read the log or fetch
+the configuration from peers. The configuration of a node must always equal the fold of
+all records before its offset, and no subject's offset can decrease on a node.
 """
 
 import pytest
@@ -202,9 +202,9 @@
 TestFolding = Folding.TestCase
 
 
-def test_a_trimmed_stream_without_a_snapshot_is_not_guessed():
-    # The node starts when the log has trimmed its first records and holds no
-    # snapshot. Folding the rest would show a configuration that nobody published.
+def test_a_trimmed_stream_without_a_snapshot_is_not_folded():
+    # Guards against a configuration that no operator published. The log has trimmed its
+    # first records and has no snapshot when the node starts.
     world = World.from_settings(
         make_settings("n1", 1), Incarnation("00000001"), 1, 0.0, seed=1
     )
@@ -252,7 +252,8 @@
 
 @pytest.mark.parametrize("checked", [False, True])
 def test_change_that_lost_to_one_not_read_yet_is_sent_again(checked):
-    # Guards against conflicts for a change that named no change to replace.
+    # Guards against a conflict for a change that named no change to replace. It loses
+    # to a change that its node had not read.
     log = _make_log_with_deployment()
     world = log.nodes["n2"]
     seen = world.configuration.entries["deployment/alpha"].offset
@@ -272,7 +273,7 @@
 
 
 def test_change_that_a_snapshot_may_cover_is_not_sent_again():
-    # Guards against a resent change that overwrites a later one by another operator.
+    # Guards against a resent change that overwrites a later change of another operator.
     log = _make_log_with_deployment()
     record = _publish_on_second_node(log, None, checked=False)
     log._append(record)
--- a/poplarrelay/systems/tests/test_leasing.py
+++ b/poplarrelay/systems/tests/test_leasing.py
@@ -1,4 +1,4 @@
-"""Leases: one holder at a time, whatever is paused or lost."""
+"""Test that a lease has one holder at a time if nodes pause or answers are lost."""
 
 import pytest
 
@@ -18,13 +18,13 @@
 
 
 def fencing(world):
-    number = fencing_token(world, DUTY)
-    assert number is not None
-    return number
+    token = fencing_token(world, DUTY)
+    assert token is not None
+    return token
 
 
-class Takers:
-    """Nodes that bid for duties on one log, with a clock that the test moves."""
+class Candidates:
+    """Nodes that request leases on one log, with a clock that the test advances."""
 
     def __init__(self, count=2):
         self.now = 100.0
@@ -78,110 +78,111 @@
 
 
 @pytest.fixture
-def takers():
-    return Takers()
-
-
-def test_a_free_duty_is_taken_by_one(takers):
-    takers.run(5.0, takers.worlds)
-    assert len(takers.holders()) == 1
-
-
-def test_two_takers_at_once_the_first_record_wins(takers):
-    one, other = takers.worlds
-    takers.run(0.0, [])
-    takers.now += 2.0
-    for world in takers.worlds:
-        takers.lease_requests(world)
-    takers.now += 2.0
-    for world in takers.worlds:
-        takers.records.extend(takers.lease_requests(world))
-    for world in takers.worlds:
-        takers.read(world)
-    assert takers.holders() == [one]
+def candidates():
+    return Candidates()
+
+
+def test_a_free_duty_gets_one_holder(candidates):
+    candidates.run(5.0, candidates.worlds)
+    assert len(candidates.holders()) == 1
+
+
+def test_the_first_of_two_concurrent_lease_records_wins(candidates):
+    one, other = candidates.worlds
+    candidates.run(0.0, [])
+    candidates.now += 2.0
+    for world in candidates.worlds:
+        candidates.lease_requests(world)
+    candidates.now += 2.0
+    for world in candidates.worlds:
+        candidates.records.extend(candidates.lease_requests(world))
+    for world in candidates.worlds:
+        candidates.read(world)
+    assert candidates.holders() == [one]
     assert fencing(one) == fencing(other)
 
 
-def test_the_holder_renews_and_keeps_the_duty(takers):
-    takers.run(5.0, takers.worlds)
-    holder = takers.holders()
-    first = fencing(takers.worlds[0])
-    takers.run(40.0, takers.worlds)
-    assert takers.holders() == holder
-    assert fencing(takers.worlds[0]) > first
+def test_the_holder_renews_and_keeps_the_duty(candidates):
+    candidates.run(5.0, candidates.worlds)
+    holder = candidates.holders()
+    first = fencing(candidates.worlds[0])
+    candidates.run(40.0, candidates.worlds)
+    assert candidates.holders() == holder
+    assert fencing(candidates.worlds[0]) > first
 
 
-def test_a_paused_holder_has_stopped_before_another_begins(takers):
-    # The holder is paused. It is not told that its lease lapses, but finds its own
-    # term over when it goes on; the other one begins only after that.
-    takers.run(5.0, takers.worlds)
-    (holder,) = takers.holders()
-    other = next(w for w in takers.worlds if w is not holder)
+def test_a_paused_holder_has_stopped_before_another_begins(candidates):
+    # Guards against two holders at a time. A paused holder receives no message that its
+    # lease has expired. When it resumes, its own term must be over.
+    candidates.run(5.0, candidates.worlds)
+    (holder,) = candidates.holders()
+    other = next(w for w in candidates.worlds if w is not holder)
     before = fencing(other)
-    takers.run(TERM_S + MARGIN_S + 3.0, [other])
-    assert takers.holders() == [other]
-    assert remaining_term(holder, DUTY, takers.now) == 0.0
+    candidates.run(TERM_S + MARGIN_S + 3.0, [other])
+    assert candidates.holders() == [other]
+    assert remaining_term(holder, DUTY, candidates.now) == 0.0
     assert fencing(other) > before
-    takers.run(5.0, takers.worlds)
-    assert takers.holders() == [other]
-
-
-def test_the_term_counts_from_before_the_record_was_sent(takers):
-    # The append is slow: its answer comes after most of the term. Others may have
-    # read the record early and count from there.
-    world = takers.worlds[0]
-    takers.now += 2.0
-    takers.lease_requests(world)
-    takers.now += 2.0
-    sent = takers.lease_requests(world)
-    takers.records.extend(sent)
-    takers.now += TERM_S - 1.0
-    takers.read(world)
-    assert 0.0 < remaining_term(world, DUTY, takers.now) <= 1.0
-    takers.now += 1.0
-    assert remaining_term(world, DUTY, takers.now) == 0.0
-
-
-def test_a_lost_append_answer_gives_no_second_lease(takers):
-    # The record is appended twice under one id; the repetition replaces nothing.
-    world = takers.worlds[0]
-    takers.now += 2.0
-    takers.lease_requests(world)
-    takers.now += 2.0
-    sent = takers.lease_requests(world)
-    takers.records.extend(sent + sent)
-    takers.read(world)
+    candidates.run(5.0, candidates.worlds)
+    assert candidates.holders() == [other]
+
+
+def test_the_term_counts_from_before_the_record_was_sent(candidates):
+    # Guards against two holders if the answer to the append comes after most of the
+    # term. Other nodes can have read the record early and count the term from then.
+    world = candidates.worlds[0]
+    candidates.now += 2.0
+    candidates.lease_requests(world)
+    candidates.now += 2.0
+    sent = candidates.lease_requests(world)
+    candidates.records.extend(sent)
+    candidates.now += TERM_S - 1.0
+    candidates.read(world)
+    assert 0.0 < remaining_term(world, DUTY, candidates.now) <= 1.0
+    candidates.now += 1.0
+    assert remaining_term(world, DUTY, candidates.now) == 0.0
+
+
+def test_a_lost_append_answer_gives_no_second_lease(candidates):
+    # Guards against a second lease if the answer to the append is lost and the record
+    # is appended twice under one id.
+    world = candidates.worlds[0]
+    candidates.now += 2.0
+    candidates.lease_requests(world)
+    candidates.now += 2.0
+    sent = candidates.lease_requests(world)
+    candidates.records.extend(sent + sent)
+    candidates.read(world)
     first = next(
         offset
-        for offset, value in enumerate(takers.records)
+        for offset, value in enumerate(candidates.records)
         if value.duty == DUTY.value
     )
     assert fencing(world) == first
 
 
-def test_without_the_log_the_duty_lapses(takers):
-    takers.run(5.0, takers.worlds)
-    (holder,) = takers.holders()
-    takers.now += TERM_S + 0.1
+def test_a_lease_expires_without_the_log(candidates):
+    candidates.run(5.0, candidates.worlds)
+    (holder,) = candidates.holders()
+    candidates.now += TERM_S + 0.1
     assert (
-        takers.lease_requests(holder) == []
-        or remaining_term(holder, DUTY, takers.now) == 0.0
+        candidates.lease_requests(holder) == []
+        or remaining_term(holder, DUTY, candidates.now) == 0.0
     )
-    assert takers.holders() == []
+    assert candidates.holders() == []
 
 
-def test_a_leaving_holder_gives_the_duty_up(takers):
-    takers.run(5.0, takers.worlds)
-    (holder,) = takers.holders()
-    other = next(w for w in takers.worlds if w is not holder)
+def test_a_leaving_holder_releases_the_duty(candidates):
+    candidates.run(5.0, candidates.worlds)
+    (holder,) = candidates.holders()
+    other = next(w for w in candidates.worlds if w is not holder)
     holder.phase = NodePhase.DRAINING
-    takers.run(4.0, takers.worlds)
-    assert takers.holders() == [other]
+    candidates.run(4.0, candidates.worlds)
+    assert candidates.holders() == [other]
 
 
-def test_a_record_that_replaces_an_old_lease_does_not_count(takers):
-    takers.run(20.0, takers.worlds)
-    holder = takers.holders()
+def test_a_record_that_replaces_an_old_lease_does_not_count(candidates):
+    candidates.run(20.0, candidates.worlds)
+    holder = candidates.holders()
     stale = LeaseRecord(
         id="stale",
         duty=DUTY.value,
@@ -190,7 +191,7 @@
         after=0,
         term_s=9.0,
     )
-    takers.records.append(stale)
-    for world in takers.worlds:
-        takers.read(world)
-    assert takers.holders() == holder
+    candidates.records.append(stale)
+    for world in candidates.worlds:
+        candidates.read(world)
+    assert candidates.holders() == holder
--- a/poplarrelay/systems/tests/test_limits.py
+++ b/poplarrelay/systems/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits: fair shares, classes, bounded queues, retry budgets, deadlines."""
+"""Test fair shares, request classes, queue limits, retry budgets and deadlines."""
 
 import itertools
 from collections import Counter
@@ -39,7 +39,7 @@
 
 
 class Node:
-    """One world with engines, and callers of two teams."""
+    """One node's tables with engines and a configuration of two teams."""
 
     def __init__(self, engines=1, max_queued=100, max_running=64):
         self.now = 1000.0
@@ -117,9 +117,9 @@
     return Node()
 
 
-def test_a_flood_of_one_team_leaves_the_other_its_share(node):
-    # One team sends sixty requests and the other two, behind them. As slots become
-    # free the second team is served next, not after the flood.
+def test_many_requests_of_one_team_do_not_delay_another_team(node):
+    # Guards against a team that waits behind the queue of another team. One team sends
+    # sixty requests, and then the other team sends two.
     first = runs(node.tick(*node.arrive("alpha", count=60)))
     served = [run.team for run in runs(node.tick(*node.arrive("beta", count=2)))]
     for _ in range(2):
@@ -133,7 +133,7 @@
     assert "beta" in served[:4]
 
 
-def test_urgent_goes_before_patient(node):
+def test_urgent_requests_run_before_patient_ones(node):
     node.tick(*node.arrive("alpha", RequestClass.STANDARD, count=20))
     started = runs(
         node.tick(
@@ -145,8 +145,8 @@
 
 
 def test_patient_work_is_not_starved(node):
-    # Urgent work of the same team never stops. Patient work that has waited for half
-    # of its time is served like urgent work.
+    # Guards against patient requests that never run while the same team keeps sending
+    # urgent ones. After half of its time a patient request counts as urgent.
     patient = node.arrive("alpha", RequestClass.PATIENT, timeout_s=20.0)
     running = runs(node.tick(*node.arrive("alpha", RequestClass.URGENT, count=12)))
     assert not runs(node.tick(*patient))
@@ -162,13 +162,13 @@
     assert any(run.attempt.request == patient[0].id for run in running)
 
 
-def test_a_full_queue_ends_at_once_with_when_to_come_back():
+def test_a_full_queue_refuses_requests_with_a_time_to_retry():
     node = Node(max_queued=8)
     effects = node.tick(*node.arrive("alpha", count=60))
-    told = [o for o in outcomes(effects).values() if isinstance(o, NotRun)]
-    assert told
-    assert {o.reason for o in told} == {NotRunReason.QUEUE_FULL}
-    assert all(o.retry_after_s for o in told)
+    refusals = [o for o in outcomes(effects).values() if isinstance(o, NotRun)]
+    assert refusals
+    assert {o.reason for o in refusals} == {NotRunReason.QUEUE_FULL}
+    assert all(o.retry_after_s for o in refusals)
     assert node.world.team_usage(ALPHA).queued <= 10
 
 
@@ -184,25 +184,25 @@
     waiting = node.arrive("alpha", timeout_s=1.0)
     node.tick(*waiting)
     node.now += 1.0
-    told = outcomes(node.tick())[waiting[0].id]
-    assert isinstance(told, NotRun)
-    assert told.reason is NotRunReason.DEADLINE
+    outcome = outcomes(node.tick())[waiting[0].id]
+    assert isinstance(outcome, NotRun)
+    assert outcome.reason is NotRunReason.DEADLINE
 
 
 def test_a_request_that_cannot_be_answered_in_time_ends_at_once(node):
-    # The engine is full and answers take a second. A request that has waited until
-    # less than that is left would only keep the engine busy for nobody.
+    # Guards against answers that come after the deadline. The engine is full, and an
+    # answer takes one second, which is longer than the time left for the request.
     node.world.endpoints[E0].attempt_s = 1.0
     node.tick(*node.arrive("alpha", count=20, max_tokens=200))
     waiting = node.arrive("alpha", timeout_s=3.0, max_tokens=200)
     assert not outcomes(node.tick(*waiting))
     node.now += 2.1
-    told = outcomes(node.tick())[waiting[0].id]
-    assert isinstance(told, NotRun)
-    assert told.retry_after_s
+    outcome = outcomes(node.tick())[waiting[0].id]
+    assert isinstance(outcome, NotRun)
+    assert outcome.retry_after_s
 
 
-def test_a_request_that_comes_after_its_deadline_is_not_run(node):
+def test_a_request_that_arrives_after_its_deadline_is_not_run(node):
     late = node.arrive("alpha", timeout_s=1.0)
     node.now += 2.0
     effects = node.tick(*late)
@@ -210,9 +210,8 @@
     assert isinstance(outcomes(effects)[late[0].id], NotRun)
 
 
-def test_a_wave_of_failures_stays_within_the_retry_budget():
-    # Every attempt fails, on every engine. Retries are bounded by the team's budget,
-    # so the wave does not become a storm.
+def test_retries_after_many_failures_stay_within_the_retry_budget():
+    # Guards against a retry storm when every attempt fails at every engine.
     node = Node(engines=3)
     accepted, attempts = 200, 0
     waiting = node.arrive("alpha", count=accepted)
@@ -230,7 +229,7 @@
     assert attempts / accepted < 1.6
 
 
-def test_announced_moves_take_nothing_from_the_retry_budget():
+def test_announced_moves_do_not_use_the_retry_budget():
     node = Node(engines=3)
     (run,) = runs(node.tick(*node.arrive("alpha", max_tokens=4000)))
     before = node.world.team_usage(ALPHA).retry_tokens
@@ -246,9 +245,9 @@
     assert node.world.team_usage(ALPHA).retry_tokens == before
 
 
-def test_moves_may_use_the_slots_kept_for_other_teams():
-    # One team runs more than its share on both engines, up to the slots that are kept
-    # free of it. One engine is going; what runs there must not wait for fairness.
+def test_moves_can_use_the_slots_reserved_for_other_teams():
+    # Guards against requests that are lost with a leaving engine. One team uses all
+    # slots that are open to it on both engines, and one engine leaves.
     node = Node(engines=2)
     started = runs(node.tick(*node.arrive("alpha", count=12, max_tokens=4000)))
     by_engine = Counter(run.attempt.endpoint for run in started)
@@ -261,7 +260,7 @@
     assert len(moves) == 3
 
 
-def test_work_that_ends_in_time_stays_on_a_leaving_engine():
+def test_requests_that_end_in_time_stay_at_a_leaving_engine():
     node = Node(engines=3)
     (run,) = runs(node.tick(*node.arrive("alpha", max_tokens=20)))
     notice = NoticeReceived(5.0, NoticeSource.CLOUD, endpoint=run.attempt.endpoint)
@@ -269,7 +268,7 @@
     assert not [e for e in effects if isinstance(e, MoveAttempt)]
 
 
-def test_moves_avoid_the_domain_under_notice_and_spread():
+def test_moves_avoid_the_domain_under_notice_and_use_several_engines():
     node = Node(engines=6)
     started = runs(node.tick(*node.arrive("alpha", count=12, max_tokens=4000)))
     progress = [
@@ -284,7 +283,7 @@
     assert len({m.plan.successor.endpoint for m in moves}) > 1
 
 
-def test_a_stale_host_list_does_not_take_back_a_notice():
+def test_a_later_notice_does_not_postpone_the_end_of_an_endpoint():
     node = Node(engines=2)
     notice = NoticeReceived(5.0, NoticeSource.CLOUD, endpoint=E0)
     node.tick(notice)
@@ -296,7 +295,7 @@
     assert {run.attempt.endpoint for run in started} == {"e1"}
 
 
-def test_a_failing_engine_is_paused_and_tried_again():
+def test_a_failing_engine_gets_no_work_until_its_pause_ends():
     node = Node(engines=1)
     for _ in range(2):
         (run,) = runs(node.tick(*node.arrive("alpha")))[:1]
--- a/poplarrelay/systems/tests/test_placing.py
+++ b/poplarrelay/systems/tests/test_placing.py
@@ -52,7 +52,7 @@
     assert "e5" not in targets
 
 
-def test_models_that_nobody_manages_are_left(engines):
+def test_models_without_a_wanted_count_stay_loaded(engines):
     engines[0].loaded = frozenset({"other"})
     targets = place_models(engines, {"small": 1})
     assert "other" in targets[EndpointId("e0")]
@@ -63,9 +63,10 @@
     assert place_models(engines, wanted) == place_models(engines[::-1], wanted)
 
 
-def test_an_order_is_not_sent_after_the_term():
-    # The holder was paused between its decision and the send, past the term of its
-    # lease. Nothing listens at the address: a send would fail, and none is tried.
+def test_an_order_is_not_sent_after_the_lease_term():
+    # Guards against an order of a holder that is paused between its decision and the
+    # send until its lease term is over. Nothing listens at the address, and a call of
+    # the client fails the test.
     order = SendModelOrder(
         EndpointId("e"), "127.0.0.1:1", Offset(3), NodeId("n1"), ("small",), 0.0
     )
--- a/poplarrelay/systems/tests/test_routing.py
+++ b/poplarrelay/systems/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of endpoints: price, prediction, affinity, and no herding."""
+"""Test that endpoints are chosen by price, predicted time and cached prefixes."""
 
 from collections import Counter
 from random import Random
@@ -45,37 +45,39 @@
     return Criteria(**{**values, **changes})
 
 
-def choose(endpoints, asked=None, seed=1, **changes):
-    asked = asked or request()
-    choice = choose_endpoint(endpoints, asked, criteria(**changes), Random(seed))
+def choose(endpoints, routed_request=None, seed=1, **changes):
+    routed_request = routed_request or request()
+    choice = choose_endpoint(
+        endpoints, routed_request, criteria(**changes), Random(seed)
+    )
     return None if choice is None else choice.endpoint.id
 
 
-def test_the_cheapest_that_meets_the_target_is_taken():
-    dear, cheap = engine(0, price=4.0), engine(1, running=5, price=1.0)
-    assert choose([dear, cheap]) == "e1"
+def test_the_cheapest_engine_that_meets_the_target_is_chosen():
+    expensive, cheap = engine(0, price=4.0), engine(1, running=5, price=1.0)
+    assert choose([expensive, cheap]) == "e1"
 
 
-def test_a_cheap_one_that_would_be_late_is_not_taken():
+def test_a_cheap_engine_that_misses_the_target_is_not_chosen():
     report = LoadReport(4, 0, 8, 5000, 1000.0, 0.01)
-    dear, cheap = engine(0, price=4.0), engine(1, price=1.0, report=report)
-    assert choose([dear, cheap]) == "e0"
+    expensive, cheap = engine(0, price=4.0), engine(1, price=1.0, report=report)
+    assert choose([expensive, cheap]) == "e0"
 
 
-def test_if_none_meets_the_target_the_soonest_is_taken():
+def test_the_fastest_engine_is_chosen_if_none_meets_the_target():
     slow = LoadReport(4, 0, 8, 9000, 1000.0, 0.01)
     slower = LoadReport(4, 0, 8, 20000, 1000.0, 0.01)
     assert choose([engine(0, report=slower), engine(1, report=slow)]) == "e1"
 
 
-def test_what_was_sent_since_the_report_counts():
+def test_requests_sent_since_the_report_count_as_load():
     one, other = engine(0), engine(1)
     one.note_sent(RequestId("x"), 3000, NOW)
     assert predict_first_token(one, request(), NOW) > 3.0
     assert choose([one, other]) == "e1"
 
 
-def test_a_report_shows_only_what_is_older_than_its_lag():
+def test_a_report_includes_only_changes_older_than_its_lag():
     one = engine(0)
     one.note_sent(RequestId("old"), 10, NOW - 1.0)
     one.note_sent(RequestId("new"), 10, NOW - 0.1)
@@ -83,33 +85,33 @@
     assert [change.at for change in one.changes] == [NOW - 0.1]
 
 
-def test_a_prompt_goes_where_its_head_is():
+def test_a_prompt_goes_to_the_engine_that_has_its_prefix():
     engines = [engine(index) for index in range(4)]
     engines[2].prefixes["t/p"] = NOW - 5.0
     assert {choose(engines, seed=seed) for seed in range(10)} == {"e2"}
 
 
-def test_affinity_gives_way_when_the_engine_is_full():
+def test_a_full_engine_is_not_chosen_for_a_cached_prefix():
     engines = [engine(index) for index in range(4)]
     engines[2].prefixes["t/p"] = NOW - 5.0
     engines[2].report = LoadReport(8, 8, 8, 0, 1000.0, 0.01)
     assert choose(engines) != "e2"
 
 
-def test_heads_of_another_team_are_not_known():
+def test_prefixes_of_another_team_do_not_count_as_cached():
     engines = [engine(index) for index in range(4)]
     engines[2].prefixes["other/p"] = NOW - 5.0
     assert len({choose(engines, seed=seed) for seed in range(20)}) > 1
 
 
-def test_domains_under_notice_are_the_last_choice():
+def test_domains_under_notice_are_used_only_without_alternative():
     engines = [engine(0), engine(1)]
     avoided = frozenset({DomainId("east")})
     assert {choose(engines, seed=s, avoided=avoided) for s in range(9)} == {"e1"}
     assert choose(engines[:1], avoided=avoided) == "e0"
 
 
-def test_leaving_paused_and_foreign_engines_are_not_chosen():
+def test_engines_that_leave_or_pause_or_lack_the_model_are_not_chosen():
     leaving = engine(0, state=EndpointState.LEAVING)
     paused = engine(1, closed_until=NOW + 1.0)
     without = engine(2, loaded=frozenset({"other"}))
@@ -120,7 +122,7 @@
     full = engine(0, running=8)
     assert choose([full]) == "e0"
     patient = request(request_class=RequestClass.PATIENT)
-    assert choose([full], asked=patient) is None
+    assert choose([full], routed_request=patient) is None
 
 
 def _largest_share(policy, nodes=200, engines=20):
@@ -132,14 +134,14 @@
     return max(counted.values()) / nodes
 
 
-def test_nodes_with_the_same_old_report_do_not_herd():
-    # One engine looks a little less loaded. By reported load every node sends
-    # there; two random choices spread them.
+def test_nodes_with_the_same_old_report_choose_different_engines():
+    # Guards against all nodes sending to the engine that reports the lowest load. The
+    # sample of two random engines spreads the requests.
     assert _largest_share(RoutingPolicy.LEAST_REPORTED_LOAD) == 1.0
     assert _largest_share(RoutingPolicy.PREDICTED) < 0.2
 
 
 @pytest.mark.parametrize("policy", list(RoutingPolicy))
-def test_every_policy_chooses_an_open_engine(policy):
+def test_every_policy_chooses_an_engine_with_free_slots(policy):
     engines = [engine(0, running=16), engine(1), engine(2)]
     assert choose(engines, policy=policy) in ("e1", "e2")
