--- a/poplarrelay/systems/capacity.py
+++ b/poplarrelay/systems/capacity.py
@@ -120,20 +120,20 @@
     starting = sum(1 for host in model_hosts if host.starting)
     start_limit = max(0, MAX_STARTING - starting)
     on_demand = {o.machine_class for o in policy.offers if not o.reclaimable}
-    base = sum(1 for host in model_hosts if host.machine_class in on_demand)
+    base_count = sum(1 for host in model_hosts if host.machine_class in on_demand)
     starts: list[tuple[DomainId, MachineOffer]] = []
     in_domain = CountOf(host.domain for host in model_hosts)
     while len(starts) < start_limit and (
-        len(model_hosts) + len(starts) < wanted or base < policy.base_hosts
+        len(model_hosts) + len(starts) < wanted or base_count < policy.base_hosts
     ):
-        offer = _best_offer(policy, usable, in_domain, refused, base)
+        offer = _best_offer(policy, usable, in_domain, refused, base_count)
         if offer is None:
             break
         starts.append(offer)
         in_domain[offer[0]] += 1
-        base += not offer[1].reclaimable
+        base_count += not offer[1].reclaimable
     stops = (
-        _hosts_to_stop(policy, model_hosts, wanted, in_domain, base)
+        _hosts_to_stop(policy, model_hosts, wanted, in_domain, base_count)
         if not starts
         else ()
     )
@@ -145,11 +145,11 @@
     domains: list[DomainId],
     in_domain: CountOf[DomainId],
     refused: frozenset[tuple[DomainId, str]],
-    base: int,
+    base_count: int,
 ) -> tuple[DomainId, MachineOffer] | None:
     """Return the cheapest offer in the domain with the fewest hosts."""
     offers = [
-        o for o in policy.offers if not o.reclaimable or base >= policy.base_hosts
+        o for o in policy.offers if not o.reclaimable or base_count >= policy.base_hosts
     ]
     possible = [
         (domain, offer)
@@ -169,7 +169,7 @@
     model_hosts: list[StartedHost],
     wanted: int,
     in_domain: CountOf[DomainId],
-    base: int,
+    base_count: int,
 ) -> tuple[StartedHost, ...]:
     """Return one host to stop, or none.
 
@@ -184,7 +184,7 @@
         host
         for host in model_hosts
         if not host.starting
-        and (host.machine_class not in on_demand or base > policy.base_hosts)
+        and (host.machine_class not in on_demand or base_count > policy.base_hosts)
     ]
     if not stoppable:
         return ()
--- a/poplarrelay/systems/endpoint_monitoring.py
+++ b/poplarrelay/systems/endpoint_monitoring.py
@@ -76,11 +76,11 @@
     """Merge the platform's host list, and request it again when it is due."""
     for listed in inbox.of(HostsListed):
         rows = _watched(world, listed.rows)
-        names = {row.endpoint for row in rows}
+        watched_ids = {row.endpoint for row in rows}
         for row in rows:
             yield from _update_listed(world, row, now)
         for endpoint in list(world.endpoints.values()):
-            endpoint.listed = endpoint.id in names
+            endpoint.listed = endpoint.id in watched_ids
             if not endpoint.listed and not endpoint.sent:
                 endpoint.state = EndpointState.GONE
                 del world.endpoints[endpoint.id]
--- a/poplarrelay/systems/membership.py
+++ b/poplarrelay/systems/membership.py
@@ -42,7 +42,7 @@
 _PROBED = (MemberStatus.ALIVE, MemberStatus.LEAVING, MemberStatus.SUSPECT)
 #: Rounds of probes between two probes of a seed, which find nodes that were declared
 #: dead but are running.
-DEAD_PROBE_ROUNDS = 10
+SEED_PROBE_ROUNDS = 10
 #: Rounds of probes between two requests for a seed's complete member table. The table
 #: supplies rows that gossip missed; its size grows with the number of nodes.
 FULL_ROUNDS = 200
@@ -167,7 +167,7 @@
     After a partition, two groups of nodes can have declared each other dead. They find
     each other again through the seeds.
     """
-    return not probed or world.probe_round % DEAD_PROBE_ROUNDS == 0
+    return not probed or world.probe_round % SEED_PROBE_ROUNDS == 0
 
 
 def _probe_message(world: World, full: bool, now: float) -> ProbeMessage:
