--- a/poplarrelay/__init__.py
+++ b/poplarrelay/__init__.py
@@ -1,7 +1,7 @@
 """Serve model and application traffic on hosts that can be reclaimed.
 
-The package is a library of coordination parts (tables and the systems that run
-over them) and the daemons that are built from it.
+The package holds a coordination library (tables, and systems that run over them) and
+the daemons that are built with it.
 """
 
 __all__ = ["__version__"]
--- a/poplarrelay/configuration/__init__.py
+++ b/poplarrelay/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Templates, deployments, and what they come to for a team."""
+"""Templates, deployments and the team policies that result from them."""
 
 from poplarrelay.configuration.policy import ClassPolicy, ServicePolicy, TeamPolicy
 from poplarrelay.configuration.resolve import resolve_deployment
--- a/poplarrelay/configuration/policy.py
+++ b/poplarrelay/configuration/policy.py
@@ -1,4 +1,4 @@
-"""What a team may do, worked out from its deployment and template."""
+"""The policy of a team, computed from its deployment and template."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServicePolicy:
-    """A plain service that the team may call."""
+    """A plain service that the team is allowed to call."""
 
     name: str
     repeatable_methods: frozenset[str]
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamPolicy:
-    """One team's deployment, resolved against its template."""
+    """The deployment of one team, resolved against its template."""
 
     team: TeamId
     models: frozenset[str]
--- a/poplarrelay/configuration/resolve.py
+++ b/poplarrelay/configuration/resolve.py
@@ -12,7 +12,7 @@
 __all__ = ["check_file", "resolve_deployment"]
 
 
-def _outside(
+def _unknown_names(
     place: str, chosen: Iterable[str] | None, allowed: Iterable[str]
 ) -> Iterator[FieldError]:
     known = set(allowed)
@@ -21,40 +21,48 @@
             yield FieldError(place, f"{name!r} is not in the template")
 
 
-def _over(place: str, chosen: float | None, bound: float) -> Iterator[FieldError]:
+def _exceeded_bounds(
+    place: str, chosen: float | None, bound: float
+) -> Iterator[FieldError]:
     if chosen is not None and chosen > bound:
         yield FieldError(place, f"{chosen} is over the template's {bound}")
 
 
-def _faults(template: Template, deployment: Deployment) -> Iterator[FieldError]:
+def _find_faults(template: Template, deployment: Deployment) -> Iterator[FieldError]:
     services = [service.name for service in template.services]
-    yield from _outside("models", deployment.models, template.models)
-    yield from _outside("services", deployment.services, services)
-    yield from _outside(
+    yield from _unknown_names("models", deployment.models, template.models)
+    yield from _unknown_names("services", deployment.services, services)
+    yield from _unknown_names(
         "failure_domains", deployment.failure_domains, template.failure_domains
     )
     limits, bounds = deployment.limits, template.limits
-    yield from _over("limits.max_running", limits.max_running, bounds.max_running)
-    yield from _over("limits.max_queued", limits.max_queued, bounds.max_queued)
-    yield from _over("limits.retry_ratio", limits.retry_ratio, bounds.retry_ratio)
+    yield from _exceeded_bounds(
+        "limits.max_running", limits.max_running, bounds.max_running
+    )
+    yield from _exceeded_bounds(
+        "limits.max_queued", limits.max_queued, bounds.max_queued
+    )
+    yield from _exceeded_bounds(
+        "limits.retry_ratio", limits.retry_ratio, bounds.retry_ratio
+    )
 
 
 def resolve_deployment(template: Template, deployment: Deployment) -> TeamPolicy:
-    """Return the policy of a team.
+    """Return the team's policy.
 
     Parameters
     ----------
     template : Template
-        The template that the deployment names.
+        The template to which the deployment refers.
     deployment : Deployment
         The team's parameters.
 
     Raises
     ------
     InvalidConfiguration
-        With every parameter that the template does not allow.
+        If the template does not allow some parameters; the error names all of them.
     """
-    faults = tuple(_faults(template, deployment))
+    faults = tuple(_find_faults(template, deployment))
     if faults:
         raise InvalidConfiguration(faults)
     limits, bounds = deployment.limits, template.limits
@@ -90,10 +98,10 @@
 
 
 def check_file(file: ConfigurationFile) -> tuple[FieldError, ...]:
-    """Return the faults between the parts of a configuration file.
+    """Return the faults that need several parts of a configuration file to detect.
 
-    A deployment whose template is not in the file is left to the node that it is
-    published to, since the template may be in force already.
+    A deployment is skipped if its template is not in the file. The template may be in
+    force already, so the node that receives the deployment checks it.
     """
     templates = {template.name: template for template in file.templates}
     faults: list[FieldError] = []
@@ -101,7 +109,7 @@
         template = templates.get(deployment.template)
         if template is None:
             continue
-        for fault in _faults(template, deployment):
+        for fault in _find_faults(template, deployment):
             faults.append(
                 FieldError(f"deployments.{index}.{fault.place}", fault.problem)
             )
--- a/poplarrelay/configuration/schema.py
+++ b/poplarrelay/configuration/schema.py
@@ -1,4 +1,4 @@
-"""Schema of what operators publish: templates and deployments."""
+"""Schemas of the templates and deployments that operators publish."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Service(StrictModel):
-    """A plain service and which of its calls may be repeated."""
+    """A plain service, with the HTTP methods that are safe to repeat."""
 
     name: Name
     repeatable_methods: tuple[str, ...] = ("GET", "HEAD", "OPTIONS")
@@ -49,16 +49,16 @@
 
 
 class CapacityPolicy(StrictModel):
-    """How many hosts run a model.
+    """How many hosts to run for a model.
 
     Attributes
     ----------
     slots : int
-        Requests that one host runs at a time.
+        Requests that one host runs concurrently.
     base_hosts : int
-        Hosts that cannot be reclaimed.
+        Number of hosts that cannot be reclaimed.
     headroom : float
-        Factor on the demand.
+        Ratio of the capacity to the demand.
     """
 
     model: Name
@@ -71,7 +71,7 @@
 
 
 class TemplateLimits(StrictModel):
-    """Upper bounds that a team's limits may not pass."""
+    """Upper bounds on the limits of a team."""
 
     max_running: int = Field(default=64, ge=1)
     max_queued: int = Field(default=256, ge=0)
@@ -79,7 +79,7 @@
 
 
 class DeploymentLimits(StrictModel):
-    """A team's own limits; None takes the template's."""
+    """Limits of one team; None means the template's limit."""
 
     max_running: int | None = Field(default=None, ge=1)
     max_queued: int | None = Field(default=None, ge=0)
@@ -87,15 +87,15 @@
 
 
 class Template(StrictModel):
-    """What the deployments of several teams share.
+    """Configuration that the deployments of several teams share.
 
     Attributes
     ----------
     runners : dict of str to int
-        Engines that must have a model loaded; a model that is not named here is
-        left as the engines have it.
+        Number of engines that must have a model loaded, by model. The nodes do not
+        load or unload models that are not listed.
     capacity : tuple of CapacityPolicy
-        Hosts to start and stop; none for hosts that somebody else looks after.
+        Hosts to start and stop; empty if the hosts are managed by another system.
     """
 
     name: Name
@@ -109,14 +109,14 @@
 
 
 class Deployment(StrictModel):
-    """One team's parameters on top of a template.
+    """Parameters of one team that refine a template.
 
     Attributes
     ----------
     priority : int
-        Weight of the team when several wait for the same endpoint.
+        Weight of the team when several teams wait for the same endpoint.
     token_sha256 : tuple of str
-        Hashes of the bearer tokens that name the team.
+        SHA-256 hashes of the bearer tokens that identify the team.
     """
 
     team: Name
@@ -137,11 +137,11 @@
 
     @classmethod
     def from_file(cls, path: Path) -> ConfigurationFile:
-        """Read and check a configuration file.
+        """Read and validate a configuration file.
 
         Raises
         ------
         SettingsError
-            With every fault of the file.
+            If the file has faults; the error holds all of them.
         """
         return load_json_file(cls, path)
--- a/poplarrelay/engines/__init__.py
+++ b/poplarrelay/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the back ends: model engines and plain services."""
+"""HTTP clients of model engines and plain services."""
--- a/poplarrelay/engines/http.py
+++ b/poplarrelay/engines/http.py
@@ -1,4 +1,4 @@
-"""Endpoints over HTTP: OpenAI-style completions and plain services."""
+"""HTTP clients of endpoints: OpenAI-style completions and plain services."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 EVENT_END = b"\n\n"
 DATA = b"data: "
 DONE = b"[DONE]"
-#: Statuses by which an engine says that it did not start.
-_REFUSALS = (429, 503)
-#: Seconds that a read may last beyond the deadline.
+#: HTTP statuses with which an engine states that it did not start an attempt.
+_NOT_STARTED_STATUSES = (429, 503)
+#: Seconds by which a read can exceed the deadline.
 DEADLINE_SLACK_S = 0.05
-#: Longest answer of a plain service, in bytes.
+#: Maximum size of a plain service's answer, in bytes.
 MAX_ANSWER_BYTES = 16_000_000
 
 
-def _split(chunks: Iterator[bytes]) -> Iterator[list[bytes]]:
-    """Return the data of server-sent events, however they are cut into chunks."""
-    rest = b""
+def _split_events(chunks: Iterator[bytes]) -> Iterator[list[bytes]]:
+    """Yield the data of server-sent events; an event can span several chunks."""
+    remainder = b""
     for chunk in chunks:
-        *events, rest = (rest + chunk).split(EVENT_END)
-        whole = [event[len(DATA) :] for event in events if event.startswith(DATA)]
-        if whole:
-            yield whole
+        *events, remainder = (remainder + chunk).split(EVENT_END)
+        payloads = [event[len(DATA) :] for event in events if event.startswith(DATA)]
+        if payloads:
+            yield payloads
 
 
-def _event(value: dict[str, Any]) -> CompletionEvent:
+def _parse_event(value: dict[str, Any]) -> CompletionEvent:
     attempt = AttemptId(value["attempt"])
     finish = value.get("finish")
     if finish is None:
@@ -71,15 +71,16 @@
 
 
 class HttpEngine:
-    """A model engine over HTTP.
+    """Client of model engines over HTTP.
 
     Parameters
     ----------
     connect_timeout_s : float
-        Seconds until a connection must stand.
+        Seconds after which an attempt to connect times out.
     progress_timeout_s : float
-        Seconds without a byte after which a stream counts as stalled. A frozen
-        engine keeps its connections open, so only this tells it from a slow one.
+        Seconds without a byte after which a stream is treated as stalled. A paused
+        engine keeps its connections open, so only this timeout distinguishes it from
+        a slow engine.
     """
 
     def __init__(
@@ -101,7 +102,7 @@
         priority: int,
         source: CacheSource | None = None,
     ) -> Generator[list[CompletionEvent], None, None]:
-        """Return the events of an attempt, from `attempt.resume_from` on."""
+        """Yield the events of an attempt, from token `attempt.resume_from` on."""
         body = {
             "model": work.name,
             "prompt": work.prompt,
@@ -117,40 +118,42 @@
                 "address": source.address,
                 "export": source.export,
             }
-        response = self._open(attempt, orjson.dumps(body))
+        response = self._open_stream(attempt, orjson.dumps(body))
         ended = False
         try:
-            for datas in _split(response.stream(65_536)):
-                ended = datas[-1] == DONE
+            for payloads in _split_events(response.stream(65_536)):
+                ended = payloads[-1] == DONE
                 if ended:
-                    datas.pop()
-                if datas:
-                    yield [_event(orjson.loads(data)) for data in datas]
+                    payloads.pop()
+                if payloads:
+                    yield [_parse_event(orjson.loads(data)) for data in payloads]
                 if ended:
                     break
         except (HTTPError, OSError) as error:
             raise EndpointBroken(type(error).__name__) from error
         except (ValueError, KeyError, TypeError, IndexError) as error:
-            raise EndpointBroken("an event was not understood") from error
+            raise EndpointBroken(
+                "the engine sent an event that is not valid"
+            ) from error
         finally:
-            self._finish(response, ended)
+            self._release_or_close(response, ended)
 
     @staticmethod
-    def _finish(response: BaseHTTPResponse, ended: bool) -> None:
-        """Give a connection back only if its stream was read to the end."""
+    def _release_or_close(response: BaseHTTPResponse, ended: bool) -> None:
+        """Return the connection to the pool if its stream ended, else close it."""
         if ended:
             response.drain_conn()
             response.release_conn()
         else:
             response.close()
 
-    def _open(self, attempt: Attempt, body: bytes) -> BaseHTTPResponse:
-        # A stall is noticed at the deadline at the latest, so that the caller is
-        # told at once and not when the stall has been waited out.
-        left = max(0.01, attempt.deadline - time.monotonic())
+    def _open_stream(self, attempt: Attempt, body: bytes) -> BaseHTTPResponse:
+        # The read timeout ends shortly after the deadline, so a caller of a stalled
+        # stream gets its answer then and not after the full progress timeout.
+        remaining_s = max(0.01, attempt.deadline - time.monotonic())
         timeout = urllib3.Timeout(
-            connect=min(self._connect_timeout_s, left),
-            read=min(self._progress_timeout_s, left + DEADLINE_SLACK_S),
+            connect=min(self._connect_timeout_s, remaining_s),
+            read=min(self._progress_timeout_s, remaining_s + DEADLINE_SLACK_S),
         )
         try:
             response = self._pool.request(
@@ -168,13 +171,13 @@
             raise EndpointBroken(type(error).__name__) from error
         if response.status != 200:
             response.close()
-            if response.status in _REFUSALS:
+            if response.status in _NOT_STARTED_STATUSES:
                 raise EndpointRefused(f"status {response.status}")
             raise EndpointBroken(f"status {response.status}")
         return response
 
     def export_cache(self, attempt: Attempt) -> bool:
-        """Ask the engine to stop an attempt and export its KV cache."""
+        """Ask the engine to stop an attempt and to export its KV cache."""
         try:
             reply = self._http_client.call(
                 "POST", attempt.address, "/kv/export", {"attempt": attempt.id}
@@ -184,7 +187,7 @@
         return reply.ok
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ask the engine to stop an attempt; failures are of no matter."""
+        """Ask the engine to stop an attempt; failures are ignored."""
         try:
             self._http_client.call(
                 "POST",
@@ -194,17 +197,18 @@
                 timeout_s=0.5,
             )
         except CallFailed:
-            # The engine stops by itself when its next write fails.
+            # The engine also stops the attempt when its next write to the closed
+            # connection fails.
             return
 
 
 class HttpService:
-    """A plain service over HTTP.
+    """Client of plain services over HTTP.
 
     Parameters
     ----------
     connect_timeout_s : float
-        Seconds until a connection must stand.
+        Seconds after which an attempt to connect times out.
     """
 
     def __init__(self, connect_timeout_s: float) -> None:
@@ -212,17 +216,17 @@
         self._pool = urllib3.PoolManager(num_pools=256, maxsize=16, retries=False)
 
     def call(self, attempt: Attempt, work: Work, team: TeamId) -> ServiceAnswer:
-        """Make the call once.
+        """Call the service once.
 
         Notes
         -----
-        Work that must not be repeated goes over a new connection. A kept one may
-        have been closed by the service in the meantime, and then it cannot be
-        told whether the call arrived; with a new one, a failure to connect is
-        certain and everything after it is not.
+        Work that must not be repeated uses a new connection. The service can close a
+        pooled connection at any time, and then it is unknown whether the call arrived.
+        If a new connection cannot be opened, the call certainly did not arrive; after
+        a later failure this is unknown.
         """
-        left = attempt.deadline - time.monotonic()
-        if left <= 0:
+        remaining_s = attempt.deadline - time.monotonic()
+        if remaining_s <= 0:
             raise EndpointRefused("the deadline has passed")
         headers = {
             "Content-Type": work.content_type or "application/octet-stream",
@@ -234,7 +238,7 @@
             pool = urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
         else:
             pool = self._pool
-        return self._send(pool, attempt, work, headers, left)
+        return self._send(pool, attempt, work, headers, remaining_s)
 
     def _send(
         self,
@@ -242,16 +246,16 @@
         attempt: Attempt,
         work: Work,
         headers: dict[str, str],
-        left: float,
+        remaining_s: float,
     ) -> ServiceAnswer:
-        connect = min(self._connect_timeout_s, left)
+        connect = min(self._connect_timeout_s, remaining_s)
         try:
             response = pool.request(
                 work.method,
                 f"http://{attempt.address}{work.path}",
                 body=work.body or None,
                 headers=headers,
-                timeout=urllib3.Timeout(connect=connect, read=left),
+                timeout=urllib3.Timeout(connect=connect, read=remaining_s),
                 preload_content=False,
                 redirect=False,
             )
@@ -270,12 +274,12 @@
 def read_load(
     endpoint: EndpointId, address: str, http_client: JsonHttpClient
 ) -> LoadAnswer:
-    """Read an endpoint's load report.
+    """Request an endpoint's load report.
 
     Raises
     ------
     EndpointBroken
-        If there was no answer that can be understood.
+        If there is no valid answer, or another endpoint answers.
     """
     try:
         reply = http_client.call("GET", address, "/load")
@@ -291,11 +295,11 @@
             step_s=float(value["step_s"]),
         )
         leaving = value.get("leaving_s")
-        own = str(value.get("endpoint", endpoint))
+        answering_endpoint = str(value.get("endpoint", endpoint))
         models = value.get("models")
     except (CallFailed, KeyError, TypeError, ValueError) as error:
-        raise EndpointBroken("no load report") from error
-    if own != endpoint:
+        raise EndpointBroken("the endpoint sent no valid load report") from error
+    if answering_endpoint != endpoint:
         raise EndpointBroken("another endpoint answers at this address")
     return LoadAnswer(
         endpoint,
@@ -308,12 +312,12 @@
 def send_model_order(
     order: SendModelOrder, http_client: JsonHttpClient, timeout_s: float
 ) -> bool:
-    """Give an order to an engine; return whether it was taken.
+    """Send a model order to an engine and return whether the engine accepted it.
 
     Notes
     -----
-    The lease's remaining term is compared right before the order is sent, since
-    the process may have been paused after the tick thread decided.
+    The expiry of the lease is checked immediately before the order is sent, because
+    the process may have been paused after the tick thread issued the order.
     """
     if time.monotonic() >= order.expires_at:
         return False
--- a/poplarrelay/engines/protocols.py
+++ b/poplarrelay/engines/protocols.py
@@ -1,4 +1,4 @@
-"""What a node needs of an endpoint."""
+"""Interfaces of endpoints, and the values that they return."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     Attributes
     ----------
     attempt : AttemptId
-        The attempt that the engine says it belongs to.
+        The attempt id that the engine sent with the token.
     index : int
-        Position within the whole answer, from 0.
+        Position of the token in the complete answer, from 0.
     """
 
     attempt: AttemptId
@@ -42,7 +42,7 @@
 
 
 class EndReason(Enum):
-    """Why an engine's stream ended in order."""
+    """Reason for which an engine ended a stream normally."""
 
     STOP = "stop"
     EXPORTED = "exported"
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineEnd:
-    """The explicit end of a stream; without it the stream was cut.
+    """The end event of a stream; a stream without it was cut off.
 
     Attributes
     ----------
     count : int
-        Index after the last token.
+        Index of the last token plus one.
     export : str
-        Name of the exported KV cache.
+        Name of the exported KV cache, empty if there is none.
     """
 
     attempt: AttemptId
@@ -81,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadAnswer:
-    """An endpoint's load report, and its own notice if it has one.
+    """An endpoint's load report, with its reclaim notice if it has one.
 
     Attributes
     ----------
     leaving_s : float or None
-        Seconds until the endpoint goes.
+        Seconds until the endpoint leaves, None if it has no reclaim notice.
     """
 
     endpoint: EndpointId
@@ -106,26 +106,29 @@
         priority: int,
         source: CacheSource | None = None,
     ) -> Generator[list[CompletionEvent], None, None]:
-        """Return the events of an attempt, from `attempt.resume_from` on.
+        """Yield the events of an attempt, from token `attempt.resume_from` on.
 
-        Events that arrived together come together, so that they can be passed on
-        with one write.
+        Events that arrive together are yielded as one list, so the caller can forward
+        them with one write.
 
         Raises
         ------
         EndpointRefused
-            Before the first event, if the engine certainly did not start.
+            Before the first event, if the engine did not start the attempt.
         EndpointBroken
-            If the stream stalled, was cut, or was not understood.
+            If the stream stalled, was cut off or was not valid.
         """
         ...
 
     def export_cache(self, attempt: Attempt) -> bool:
-        """Ask the engine to stop an attempt and export its KV cache."""
+        """Ask the engine to stop an attempt and to export its KV cache.
+
+        Return whether the engine accepted.
+        """
         ...
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ask the engine to stop an attempt; failures are of no matter."""
+        """Ask the engine to stop an attempt; failures are ignored."""
         ...
 
 
@@ -133,13 +136,13 @@
     """A plain service."""
 
     def call(self, attempt: Attempt, work: Work, team: TeamId) -> ServiceAnswer:
-        """Make the call once.
+        """Call the service once.
 
         Raises
         ------
         EndpointRefused
-            If the service certainly did not start.
+            If the service did not start the call.
         EndpointBroken
-            If it may have run.
+            If the call failed and the service may have run it.
         """
         ...
--- a/poplarrelay/exception.py
+++ b/poplarrelay/exception.py
@@ -1,8 +1,8 @@
-"""Typed failures.
+"""Exceptions of the package.
 
-Every failure that crosses a module boundary has a class of its own below
-`PoplarrelayError`. What a request finally came to is not an exception but one of
-the dataclasses of `poplarrelay.outcomes`.
+Every failure that crosses a module boundary has its own subclass of
+`PoplarrelayError`. The outcome of a request is not an exception: it is one of the
+dataclasses of `poplarrelay.outcomes`.
 """
 
 from __future__ import annotations
@@ -44,19 +44,19 @@
 
 
 class PoplarrelayError(Exception):
-    """Base class of all failures of this package."""
+    """Base class of all exceptions of this package."""
 
 
 @dataclass(frozen=True, slots=True)
 class FieldError:
-    """One fault in a file, with its place.
+    """One fault in a file, with the path to the faulty value.
 
     Attributes
     ----------
     place : str
         Path to the value, such as ``deployments.0.limits.max_queued``.
     problem : str
-        What is wrong with it.
+        Description of the fault.
     """
 
     place: str
@@ -72,7 +72,7 @@
     Parameters
     ----------
     faults : tuple of FieldError
-        Every fault found, in the order of the file.
+        All faults, in the order of the file.
     """
 
     def __init__(self, faults: tuple[FieldError, ...]) -> None:
@@ -81,18 +81,18 @@
 
 
 class InvalidConfiguration(SettingsError):
-    """A template or deployment does not pass validation."""
+    """A template or deployment is not valid."""
 
 
 class ConfigurationConflict(PoplarrelayError):
-    """Another operator's change was ordered first.
+    """The log ordered another operator's change first.
 
     Parameters
     ----------
     name : str
-        What both changes replace, such as ``deployment/tide-east``.
+        Subject that both changes replace, such as ``deployment/tide-east``.
     winner : int or None
-        Offset of the change in force, None if there is none.
+        Log offset of the change in force, None if there is none.
     """
 
     def __init__(self, name: str, winner: Offset | None) -> None:
@@ -102,28 +102,28 @@
 
 
 class ConfigurationUnconfirmed(PoplarrelayError):
-    """A change was sent to the log but has not been read back in time.
+    """A change was sent to the log but was not read back before the deadline.
 
-    It may still come into force. Publishing it again is safe: the second change
-    either repeats it or conflicts with it.
+    The change can still come into force. It is safe to publish it again: the second
+    append either repeats the change or conflicts with it.
     """
 
 
 class PlatformError(PoplarrelayError):
-    """The platform did not do what it was asked."""
+    """A call to a service of the platform failed."""
 
 
 class LogUnavailable(PlatformError):
-    """The log service gave no answer; an append may still have taken effect."""
+    """The log service did not answer; an append may still have taken effect."""
 
 
 class LogRefused(PlatformError):
-    """The log service refused before it did anything.
+    """The log service refused a call and did nothing.
 
     Parameters
     ----------
     retry_after_s : float
-        Seconds after which another try can help.
+        Seconds until a retry can succeed.
     """
 
     def __init__(self, retry_after_s: float) -> None:
@@ -132,18 +132,18 @@
 
 
 class LogTrimmed(PlatformError):
-    """Records that the reader still needed are no longer kept.
+    """The log no longer keeps records that the reader needs.
 
     Parameters
     ----------
     wanted : int
-        First offset that was asked for.
+        First offset that the reader requested.
     oldest : int
-        Oldest offset that the log still keeps.
+        Oldest offset that the log keeps.
     """
 
     def __init__(self, wanted: Offset, oldest: Offset) -> None:
-        super().__init__(f"offset {wanted} is gone, the oldest kept is {oldest}")
+        super().__init__(f"offset {wanted} is trimmed, the oldest kept is {oldest}")
         self.wanted = wanted
         self.oldest = oldest
 
@@ -154,9 +154,9 @@
     Attributes
     ----------
     record : str
-        Which record.
+        Name of the record.
     problem : str
-        What is wrong with it.
+        Description of the fault.
     """
 
     def __init__(self, record: str, problem: str) -> None:
@@ -166,15 +166,15 @@
 
 
 class PlatformUnavailable(PlatformError):
-    """A call to the platform got no answer, or an answer that it is not served.
+    """A call to the platform got no answer or an error status.
 
     Attributes
     ----------
     call : str
-        Which call.
+        Name of the call.
     status : int or None
-        HTTP status of the answer, None if there was none. Without an answer the
-        call may have been carried out, or may be carried out later.
+        HTTP status of the answer, None if there was none. Without an answer, the
+        platform may have executed the call or may execute it later.
     """
 
     def __init__(self, call: str, status: int | None, detail: str = "") -> None:
@@ -184,26 +184,26 @@
 
 
 class HistoryTrimmed(PlatformError):
-    """The records asked for are gone from the platform's store.
+    """The platform's store no longer keeps the requested records.
 
     Attributes
     ----------
     start : int
-        Offset of the first record that is left.
+        Offset of the oldest record that the store keeps.
     """
 
     def __init__(self, start: int) -> None:
-        super().__init__(f"records before {start} are gone")
+        super().__init__(f"records before offset {start} are trimmed")
         self.start = start
 
 
 class AppendRefused(PlatformError):
-    """The platform's store refused an append for good.
+    """The platform's store refused an append; a retry would be refused too.
 
     Attributes
     ----------
     reason : str
-        ``fenced`` if a newer writer has taken over, else what the store said.
+        ``fenced`` if a newer writer has taken over, else the store's reason.
     """
 
     def __init__(self, reason: str) -> None:
@@ -212,14 +212,14 @@
 
 
 class ExchangeFailed(PoplarrelayError):
-    """An HTTP exchange ended without a whole answer.
+    """An HTTP exchange ended without a complete response.
 
     Attributes
     ----------
     sent : bool
-        Whether any byte of the request may have reached the other side.
+        Whether any byte of the request may have reached the server.
     closed : bool
-        Whether the other side closed or reset the connection.
+        Whether the server closed or reset the connection.
     """
 
     def __init__(self, problem: str, sent: bool, closed: bool = False) -> None:
@@ -233,17 +233,17 @@
 
 
 class EndpointRefused(EndpointError):
-    """The endpoint certainly did not start: no byte of the request reached it,
-    or it answered that it did not begin.
+    """The endpoint did not start the request: no byte of the request reached the
+    endpoint, or the endpoint answered that it did not start.
     """  # noqa: D205
 
 
 class EndpointBroken(EndpointError):
-    """The attempt may have run, wholly or in part."""
+    """The attempt failed after it may have run, completely or in part."""
 
 
 class CallerError(PoplarrelayError):
-    """The caller's request cannot be accepted as it is.
+    """The caller's request is not acceptable.
 
     Attributes
     ----------
@@ -252,7 +252,7 @@
     slug : str
         Last part of the problem type (RFC 9457).
     title : str
-        Short text, the same for every occurrence.
+        Short text that is the same for every instance of the problem (RFC 9457).
     """
 
     status = 400
@@ -261,7 +261,7 @@
 
 
 class AuthenticationFailed(CallerError):
-    """The bearer token is absent or belongs to no team."""
+    """The bearer token is missing or belongs to no team."""
 
     status = 401
     slug = "authentication-failed"
@@ -269,7 +269,7 @@
 
 
 class BodyTooLarge(CallerError):
-    """The body is larger than the node takes."""
+    """The body is larger than the node accepts."""
 
     status = 413
     slug = "body-too-large"
@@ -277,28 +277,28 @@
 
 
 class MalformedBody(CallerError):
-    """The body is not JSON, or lacks a field, or has one of the wrong type."""
+    """The body is not JSON, lacks a field or has a field of the wrong type."""
 
     slug = "malformed-body"
     title = "The body is not valid"
 
 
 class MalformedHeader(CallerError):
-    """A header has a value that the node does not take."""
+    """A header has a value that the node does not accept."""
 
     slug = "malformed-header"
     title = "A header is not valid"
 
 
 class MalformedKey(CallerError):
-    """The idempotency key is neither a plain key nor a ticket."""
+    """The idempotency key is neither a caller key nor a ticket."""
 
     slug = "key-malformed"
     title = "The idempotency key has an unknown form"
 
 
 class KeyReused(CallerError):
-    """The idempotency key came before with another request."""
+    """The idempotency key was used before with a different request."""
 
     status = 422
     slug = "key-reused"
@@ -322,7 +322,7 @@
 
 
 class RequestNotFound(CallerError):
-    """The team has no request of this id."""
+    """The team has no request with this id."""
 
     status = 404
     slug = "request-not-found"
--- a/poplarrelay/identifiers.py
+++ b/poplarrelay/identifiers.py
@@ -1,4 +1,4 @@
-"""Identifiers of the entities that the tables hold."""
+"""Types of the identifiers that the tables use."""
 
 from __future__ import annotations
 
@@ -21,33 +21,34 @@
     "TeamId",
 ]
 
-#: A node's name, fixed by its settings and kept over restarts.
+#: Name of a node. Its settings fix it, so it survives restarts.
 NodeId = NewType("NodeId", str)
-#: One run of a node's process. A restart is a new incarnation.
+#: One run of a node's process. A restart creates a new incarnation.
 Incarnation = NewType("Incarnation", str)
-#: A model engine (runner) or a plain service.
+#: Identifier of a model engine (runner) or a plain service.
 EndpointId = NewType("EndpointId", str)
-#: Start of a run of an endpoint in ms since 1970, by the endpoint's clock. Together
-#: with the endpoint's id it names the run; a later one replaces the run before it.
+#: Time at which an endpoint's run started, in ms since 1970 by the endpoint's clock.
+#: The endpoint id and this time identify the run. A run with a later start time
+#: replaces the earlier run.
 StartTime = NewType("StartTime", int)
-#: Digest of an endpoint's id and start.
+#: Digest of an endpoint id and a start time.
 EndpointRun = NewType("EndpointRun", str)
-#: A failure domain.
+#: Name of a failure domain.
 DomainId = NewType("DomainId", str)
-#: A team, the unit of isolation between callers.
+#: Name of a team, the unit of isolation between callers.
 TeamId = NewType("TeamId", str)
-#: A request, unique over all incarnations of all nodes.
+#: Identifier of a request, unique over all incarnations of all nodes.
 RequestId = NewType("RequestId", str)
-#: Digest of a request's caller and content. Unlike the request id, it stays the same
+#: Digest of a request's caller and content. Unlike the request id, it does not change
 #: when the caller retries.
 RequestFingerprint = NewType("RequestFingerprint", str)
-#: One attempt to run a request at an endpoint.
+#: Identifier of one attempt to run a request at an endpoint.
 AttemptId = NewType("AttemptId", str)
-#: A record of the log, chosen by its writer.
+#: Identifier of a log record, chosen by the record's writer.
 RecordId = NewType("RecordId", str)
-#: A stream of the platform's log service.
+#: Name of a stream of the platform's log service.
 StreamName = NewType("StreamName", str)
-#: A record's position in its stream, counted from 0.
+#: Position of a record in its stream, counted from 0.
 Offset = NewType("Offset", int)
-#: The value of a caller's ``Idempotency-Key`` header.
+#: Value of a caller's ``Idempotency-Key`` header.
 IdempotencyKey = NewType("IdempotencyKey", str)
--- a/poplarrelay/logs.py
+++ b/poplarrelay/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard output."""
+"""Structured logs: one JSON object per line on standard output."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 __all__ = ["BoundedQueueHandler", "start_logging"]
 
-#: Lines that wait to be written. At 500 bytes each they take five megabytes; what
-#: comes beyond is counted and dropped.
+#: Maximum number of queued lines. At 500 bytes each they use five megabytes. Further
+#: lines are dropped and counted.
 QUEUED_LINES = 10_000
 
 _LOG = logging.getLogger("poplarrelay.logs")
 
 
 class BoundedQueueHandler(QueueHandler):
-    """Keep records for the writing thread, and drop what does not fit.
+    """Log handler that queues records for the writer thread and drops any excess.
 
     Notes
     -----
-    Standard output may be a pipe that nobody empties. A thread that decides or
-    serves must not wait for it, nor may the lines fill the memory.
+    Standard output can be a pipe that no process reads. A tick or request thread must
+    not block on it, and the queued lines must not use up the memory.
     """
 
     def __init__(self, queue: Queue[logging.LogRecord]) -> None:
@@ -34,15 +34,15 @@
 
     @property
     def dropped(self) -> int:
-        """Return how many records did not fit since the last that did."""
+        """Return the number of records dropped since the last queued record."""
         return self._dropped
 
     def prepare(self, record: logging.LogRecord) -> Any:
-        """Keep records as they are, since they stay within the process."""
+        """Return the record unchanged; records stay within the process."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Keep a record, or count it as dropped."""
+        """Queue a record, or count it as dropped if the queue is full."""
         try:
             self.queue.put_nowait(record)
         except Full:
@@ -56,21 +56,21 @@
 def start_logging(
     node: str, level: str, queued_lines: int = QUEUED_LINES
 ) -> QueueListener:
-    """Send log records to standard output on a thread of its own.
+    """Start a thread that writes log records to standard output.
 
     Parameters
     ----------
     node : str
-        Name that every line bears.
+        Node name in every line.
     level : str
         Lowest level that is written.
     queued_lines : int
-        Lines that may wait to be written.
+        Maximum number of queued lines.
 
     Returns
     -------
     listener : QueueListener
-        To be stopped at the end, which writes what is left.
+        The writer thread. Its ``stop`` writes the queued lines and ends the thread.
     """
     handler = logging.StreamHandler(sys.stdout)
     handler.setFormatter(
--- a/poplarrelay/messages/__init__.py
+++ b/poplarrelay/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages: records of the log, what systems take in and what they order."""
+"""Typed messages: log records, inputs of the systems and effects that they issue."""
--- a/poplarrelay/messages/calls.py
+++ b/poplarrelay/messages/calls.py
@@ -1,4 +1,4 @@
-"""Facts about requests and their attempts."""
+"""Messages about requests and their attempts."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A caller, or a node on a caller's behalf, brings a request.
+    """A request arrived from a caller, or from a peer that forwards it.
 
     Attributes
     ----------
     token_sha256 : str
-        Digest of the bearer token; empty if `team` is given by a peer.
+        SHA-256 of the bearer token; empty if a peer states the `team`.
     timeout_s : float or None
-        The caller's own deadline, counted from `received`.
+        Seconds from `received` to the caller's deadline, None if the caller set none.
     received : float
         Monotonic time at which the request's head was read.
     age_s : float
-        Seconds that it spent at another node before.
+        Seconds that the request spent at another node before.
     home_clock : float or None
-        For a forwarded request, see `RequestMessage`.
+        Set for a forwarded request; see `RequestMessage`.
     deferred : bool
-        The caller will fetch the answer by id later.
+        Whether the caller fetches the answer later by request id.
     forwarded : bool
-        Sent on by a peer, so it must not be sent on again.
+        Whether a peer forwarded the request; it must not be forwarded again.
     """
 
     id: RequestId
@@ -58,13 +58,13 @@
     """How an attempt ended.
 
     FINISHED
-        With its whole answer.
+        The complete answer arrived.
     NOT_STARTED
-        No byte reached the endpoint, or it refused before starting.
+        No byte reached the endpoint, or the endpoint refused before it started.
     BROKEN
-        Cut, stalled or faulty after the first byte went out.
+        The answer was cut off, stalled or invalid after the first byte was sent.
     EXPIRED
-        The deadline passed while it ran.
+        The deadline passed while the attempt ran.
     """
 
     FINISHED = "finished"
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgressed:
-    """The first token of an attempt, or a later count of its tokens."""
+    """An attempt's first token arrived, or a later count of its tokens is reported."""
 
     request: RequestId
     attempt: AttemptId
@@ -84,14 +84,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over.
+    """An attempt ended.
 
     Attributes
     ----------
     tokens : int
-        Answer tokens received over all attempts of the request.
+        Number of answer tokens received in all attempts of the request.
     answer : tuple of str
-        All tokens of the answer, if finished.
+        All tokens of the answer if the attempt finished, else empty.
     """
 
     request: RequestId
@@ -105,6 +105,6 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
     request: RequestId
--- a/poplarrelay/messages/effects.py
+++ b/poplarrelay/messages/effects.py
@@ -1,4 +1,4 @@
-"""What the systems order: typed effects, carried out by I/O threads."""
+"""Typed effects that the systems issue and I/O threads execute."""
 
 from __future__ import annotations
 
@@ -68,10 +68,11 @@
     Attributes
     ----------
     deferred : bool
-        No caller's thread waits for it; one of the node's own runs it.
+        Whether the request is deferred. No caller's thread waits for the attempt, so
+        a thread of the node's pool runs it.
     keyed : bool
-        The outcome belongs to a key, so the tick thread settles it before the
-        caller is told.
+        Whether the outcome belongs to an idempotency key. The tick thread then
+        records the outcome before the caller receives it.
     """
 
     attempt: Attempt
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveAttempt:
-    """Continue a running attempt elsewhere."""
+    """Continue a running attempt at another endpoint."""
 
     request: RequestId
     plan: MovePlan
@@ -92,13 +93,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRequest:
-    """Give the waiting thread the request's final outcome.
+    """Send the request's final outcome to the waiting thread.
 
     Attributes
     ----------
     deferred : bool
-        The caller waits to hear that the request is accepted, and fetches the
-        outcome later; only a thread that runs the request hears of it now.
+        Whether the caller waits only for the acceptance of the request and fetches the
+        outcome later. Only the thread that runs the request receives the outcome now.
     """
 
     request: RequestId
@@ -108,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Tell the waiting thread that the request is not acceptable."""
+    """Notify the waiting thread that the request is not acceptable."""
 
     request: RequestId
     error: CallerError
@@ -116,14 +117,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptDeferred:
-    """Tell the waiting thread that the answer can be fetched by id later."""
+    """Notify the waiting thread that the caller can fetch the answer later by id."""
 
     request: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer a thread that waits for a call."""
+    """Reply to the thread that waits for a call."""
 
     call: CallId
     value: object
@@ -131,12 +132,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRecord:
-    """Append a record, together with others that wait for the same stream.
+    """Append a record, in one batch with other records queued for the same stream.
 
     Attributes
     ----------
     until : float
-        Monotonic time after which the append is of no use.
+        Monotonic time after which the append is not sent.
     """
 
     stream: StreamName
@@ -146,19 +147,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchConfiguration:
-    """Read all configuration in force from a peer."""
+    """Request all configuration in force from a peer."""
 
     peer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ListHosts:
-    """Read the platform's host list."""
+    """Request the platform's host list."""
 
 
 @dataclass(frozen=True, slots=True)
 class PollLoad:
-    """Read an endpoint's load report."""
+    """Request an endpoint's load report."""
 
     endpoint: EndpointId
     address: str
@@ -166,14 +167,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendModelOrder:
-    """Order an engine to have just these models loaded.
+    """Order an engine to have exactly these models loaded.
 
     Attributes
     ----------
     fencing : Offset
-        Fencing number of the lease under which the order is given.
+        Fencing token of the lease under which the order is issued.
     expires_at : float
-        Monotonic time after which it must not be sent.
+        Monotonic time after which the order must not be sent.
     """
 
     endpoint: EndpointId
@@ -186,17 +187,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ListStartedHosts:
-    """Read the hosts that the cloud API has started."""
+    """Request the list of hosts that the cloud API has started."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartHost:
-    """Start a host; the same token never starts a second one.
+    """Start a host; a repeated token does not start a second host.
 
     Attributes
     ----------
     expires_at : float
-        Monotonic time after which it must not be sent.
+        Monotonic time after which the order must not be sent.
     """
 
     token: str
@@ -208,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopHost:
-    """Stop a host, with a notice to what runs there."""
+    """Stop a host after a reclaim notice to the endpoint on it."""
 
     token: str
     grace_s: float
@@ -217,14 +218,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbePeer:
-    """Probe a peer, and through others if it does not answer.
+    """Probe a peer directly, then through other peers if it does not answer.
 
     Attributes
     ----------
     node : NodeId or None
-        None for a seed whose name is not known yet.
+        The probed node, None for a seed whose name is not known yet.
     helpers : tuple of str
-        Peers to try through.
+        Addresses of the peers that relay the probe.
     """
 
     node: NodeId | None
@@ -235,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send news to peers at once, without waiting for a round of probes."""
+    """Send gossip to peers immediately, without waiting for the next probe round."""
 
     peers: tuple[str, ...]
     message: ProbeMessage
@@ -243,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryKey:
-    """Ask the process that holds a key what became of it."""
+    """Request the state of a key from the process that holds it."""
 
     request: RequestId
     peer: str
@@ -252,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryAllPeers:
-    """Ask all peers whether any knows a key."""
+    """Ask all peers whether one of them has a key."""
 
     request: RequestId
     peers: tuple[str, ...]
@@ -261,7 +262,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Send a request to the home that its ticket names."""
+    """Forward a request to the owner that its ticket names."""
 
     request: RequestId
     peer: str
@@ -272,7 +273,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """Give a peer a copy of a deferred request to keep."""
+    """Send a copy of a deferred request to a peer that stores it."""
 
     request: RequestId
     peer: str
@@ -281,7 +282,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryCopies:
-    """Ask a peer what it has of requests whose home is gone."""
+    """Ask a peer for its state of requests whose owner has failed."""
 
     node: NodeId
     peer: str
@@ -290,7 +291,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHandover:
-    """Hand over to a successor."""
+    """Send a handover to the successor of this node."""
 
     node: NodeId
     peer: str
@@ -304,14 +305,14 @@
     Attributes
     ----------
     clean : bool
-        Whether nothing was cut off.
+        Whether all requests ended before the process stops.
     """
 
     clean: bool
 
 
 class Decision(Enum):
-    """Kinds of decisions that get a log line."""
+    """Kinds of decisions that are logged."""
 
     ADMIT = "admit"
     CLAIM = "claim"
@@ -331,12 +332,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogDecision:
-    """A decision for the log; never with a token, prompt or answer.
+    """Log a decision; the fields never contain a token, prompt or answer.
 
     Attributes
     ----------
     fields : tuple of (str, value)
-        What the decision was about and why.
+        Subject of the decision and its reason.
     """
 
     decision: Decision
@@ -344,7 +345,7 @@
 
 
 class Metric(Enum):
-    """Counters and histograms that the systems feed."""
+    """Counters and histograms that the systems update."""
 
     ACCEPTED = "requests_accepted"
     OUTCOMES = "request_outcomes"
--- a/poplarrelay/messages/encoding.py
+++ b/poplarrelay/messages/encoding.py
@@ -1,4 +1,4 @@
-"""Convert rows to the forms that travel between nodes, and back."""
+"""Convert rows to the messages that nodes exchange, and back."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def encode_outcome(outcome: Outcome) -> OutcomeMessage:
-    """Return the travelling form of an outcome."""
+    """Return the message that encodes an outcome."""
     if isinstance(outcome, NotRun):
         return OutcomeMessage(
             tag="not_run",
@@ -71,7 +71,7 @@
 
 
 def decode_outcome(stored: OutcomeMessage) -> Outcome:
-    """Return the outcome that travelled.
+    """Return the outcome that a message encodes.
 
     Examples
     --------
@@ -99,7 +99,7 @@
 def encode_request(
     request: Request, now: float, home_clock: float = 0.0
 ) -> RequestMessage:
-    """Return the travelling form of a request."""
+    """Return the message that encodes a request."""
     work = request.work
     outcome = request.outcome
     return RequestMessage(
@@ -130,7 +130,7 @@
 
 
 def decode_work(stored: RequestMessage) -> Work:
-    """Return the work of a request that travelled."""
+    """Return the work of the request that a message encodes."""
     return Work(
         kind=WorkKind(stored.kind),
         name=stored.name,
@@ -148,7 +148,7 @@
 
 
 def decode_request(stored: RequestMessage, now: float) -> Request:
-    """Return the row of a request that was handed over."""
+    """Return the row of the request that a message encodes."""
     request = Request(
         id=RequestId(stored.id),
         team=TeamId(stored.team),
@@ -167,7 +167,7 @@
 
 
 def encode_member(member: Member) -> MemberRow:
-    """Return the travelling form of a member."""
+    """Return the message that encodes a member."""
     return MemberRow(
         node=member.node,
         incarnation=member.incarnation,
@@ -186,7 +186,7 @@
 
 
 def decode_member(row: MemberRow, now: float) -> Member:
-    """Return the member that travelled."""
+    """Return the member that a message encodes."""
     return Member(
         node=NodeId(row.node),
         incarnation=Incarnation(row.incarnation),
--- a/poplarrelay/messages/gossip.py
+++ b/poplarrelay/messages/gossip.py
@@ -1,4 +1,4 @@
-"""Messages between nodes."""
+"""Messages that nodes exchange, and their fields on the wire."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class MemberRow(StrictModel):
-    """A member as it travels; see `poplarrelay.tables.members.Member`."""
+    """Encoded member; see `poplarrelay.tables.members.Member`."""
 
     node: str
     incarnation: str
@@ -49,8 +49,8 @@
     Attributes
     ----------
     remaining_s : float
-        Seconds until it goes. A remaining time travels, not a time of day,
-        because the hosts' clocks may differ.
+        Seconds until the endpoint leaves. The message has a remaining time and not a
+        time of day because the hosts' clocks can differ.
     """
 
     endpoint: str
@@ -58,18 +58,18 @@
 
 
 class ProbeMessage(StrictModel):
-    """A probe or its answer, with news on board.
+    """A probe or its answer, with piggybacked gossip.
 
     Attributes
     ----------
     sender : MemberRow
-        The sender's own row.
+        The sender's row.
     rows : tuple of MemberRow
-        Rows that changed lately.
+        Rows that changed recently.
     notices : tuple of NoticeRow
         Endpoints that are leaving.
     full : bool
-        Asks for the whole member table in the answer.
+        Whether the answer must contain the complete member table.
     """
 
     sender: MemberRow
@@ -79,12 +79,12 @@
 
 
 class KeyQuery(StrictModel):
-    """Ask the process that holds a key what became of it.
+    """Request for the state of a key, sent to the process that holds the key.
 
     Attributes
     ----------
     claim : int or None
-        Offset of the claim that the asker has read, None under a ticket.
+        Log offset of the claim that the sender has read, None if the key is a ticket.
     """
 
     team: str
@@ -95,12 +95,12 @@
 
 
 class OutcomeMessage(StrictModel):
-    """An outcome as it travels; see `poplarrelay.outcomes`.
+    """Encoded outcome; see `poplarrelay.outcomes`.
 
     Attributes
     ----------
     body : str
-        A plain service's body in base64.
+        Body of a plain service's answer in base64.
     """
 
     tag: Literal["answered", "not_run", "unknown"]
@@ -117,16 +117,17 @@
 
 
 class KeyReply(StrictModel):
-    """Answer to a `KeyQuery`.
-
-    ``absent`` means that this process does not hold the key and never ran it
-    under the claim asked for; ``mismatch`` that the key came with another request.
+    """Reply to a `KeyQuery`.
 
     Attributes
     ----------
+    state : str
+        ``absent`` means that the process does not hold the key and never ran it under
+        the claim of the query; ``mismatch`` means that the key belongs to a different
+        request.
     released_ago_s : float
-        Seconds since callers were told that the key was not run. A request that
-        came before then must not run any more.
+        Seconds since the process answered a caller that the key was not run. A request
+        that arrived before that must not run.
     """
 
     state: Literal["running", "finished", "released", "broken", "absent", "mismatch"]
@@ -135,7 +136,7 @@
 
 
 class KeyMessage(StrictModel):
-    """A key's fate, handed over by a node that leaves."""
+    """Final state of a key, handed over by a node that is leaving."""
 
     team: str
     key: str
@@ -147,7 +148,7 @@
 
 
 class RequestMessage(StrictModel):
-    """A request that a leaving node hands over.
+    """Encoded request: handed over, forwarded to its owner, or copied to a peer.
 
     Attributes
     ----------
@@ -156,13 +157,14 @@
     remaining_s, age_s : float
         Seconds until the deadline and since the arrival.
     home_clock : float
-        The newest time of the receiver's own clock that the sender had heard
-        when it took the request, so that one that got stuck on its way is known.
+        Newest clock reading of the receiving node that the sender had received when it
+        forwarded the request. The receiver uses it as the earliest possible arrival,
+        since the message can be delayed in transit.
     outcome : OutcomeMessage or None
-        Set if it has ended and its answer is kept for the caller.
+        Set if the request has ended and its answer is kept for the caller.
     copies : int
-        Copies that have been sent of a deferred request; a later one replaces an
-        earlier one, whichever arrives first.
+        Number of copies of a deferred request sent so far. A copy with a higher number
+        replaces one with a lower number in any order of arrival.
     """
 
     id: str
@@ -191,12 +193,12 @@
 
 
 class HandoverMessage(StrictModel):
-    """What a leaving node gives to its successor.
+    """The keys and requests that a leaving node hands over to its successor.
 
     Attributes
     ----------
     id : str
-        The same for every repetition, so that it takes effect once.
+        Identifier of the handover. Retries use the same id, so it takes effect once.
     """
 
     id: str
@@ -207,12 +209,12 @@
 
 
 class CopyMessage(StrictModel):
-    """A deferred request, or its answer, for a peer to keep.
+    """Copy of a deferred request or of its answer, stored by a peer.
 
     Attributes
     ----------
     node, incarnation, generation : str, str, int
-        The request's home.
+        The owner of the request.
     """
 
     node: str
@@ -222,14 +224,16 @@
 
 
 class CopyReply(StrictModel):
-    """Whether a peer keeps a copy.
+    """Reply of a peer to a `CopyMessage`.
 
     Attributes
     ----------
+    taken : bool
+        Whether the peer accepted the copy.
     moved : bool
-        Whether the peer has taken the request over and is its home now.
+        Whether the peer has taken over the request and owns it now.
     outcome : OutcomeMessage or None
-        What the request came to there.
+        Outcome of the request at the peer, None if there is none.
     """
 
     taken: bool
@@ -238,20 +242,21 @@
 
 
 class CopyQuery(StrictModel):
-    """Ask a peer what it has of requests whose home is gone."""
+    """Request for a peer's state of requests whose owner has failed."""
 
     requests: tuple[str, ...]
 
 
 class CopyStatus(StrictModel):
-    """What a node has of a deferred request.
+    """State of a deferred request at a node.
 
     Attributes
     ----------
     state : str
-        ``home`` if the request has come to this node to stay, ``held`` if a copy has.
+        ``home`` if the node owns the request, ``held`` if it stores a copy, ``absent``
+        if it has neither.
     copies : int
-        Number of that copy.
+        Number of the newest copy, as in `RequestMessage`.
     """
 
     request: str
@@ -261,12 +266,12 @@
 
 
 class CopyStatuses(StrictModel):
-    """Answer to a `CopyQuery`."""
+    """Reply to a `CopyQuery`."""
 
     standings: tuple[CopyStatus, ...]
 
 
 class HandoverReply(StrictModel):
-    """Whether a peer took a handover."""
+    """Reply to a `HandoverMessage`: whether the peer accepted the handover."""
 
     taken: bool
--- a/poplarrelay/messages/inbox.py
+++ b/poplarrelay/messages/inbox.py
@@ -1,4 +1,4 @@
-"""The messages of a tick, by type."""
+"""The messages that one tick processes, by type."""
 
 from __future__ import annotations
 
--- a/poplarrelay/messages/peers.py
+++ b/poplarrelay/messages/peers.py
@@ -1,4 +1,4 @@
-"""What peers ask and answer."""
+"""Messages about requests and replies of peers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeReceived:
-    """A peer's probe; the caller waits for a `ProbeMessage`."""
+    """A probe arrived from a peer, which waits for a `ProbeMessage` as reply."""
 
     call: CallId
     probe: ProbeMessage
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeFailed:
-    """A peer did not answer a probe, nor did the peers asked to try."""
+    """A peer did not answer a probe, neither directly nor through other peers."""
 
     node: NodeId | None
 
 
 @dataclass(frozen=True, slots=True)
 class KeyQueried:
-    """A peer asks what became of a key."""
+    """A peer requests the state of a key."""
 
     call: CallId
     query: KeyQuery
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyAnswered:
-    """The answer to a question about a key, None if the home is unreachable."""
+    """A key's holder replied to a query; `reply` is None if it is unreachable."""
 
     request: RequestId
     reply: KeyReply | None
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AllPeersAnswered:
-    """All peers were asked about a key.
+    """A query about a key was sent to all peers.
 
     Attributes
     ----------
     absent : bool
-        Whether every peer answered that it knows nothing of the key.
+        Whether every peer answered that it does not have the key.
     """
 
     request: RequestId
@@ -93,14 +93,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardAnswered:
-    """A ticket's home ended a forwarded request.
+    """Forwarding a request to its ticket's owner ended.
 
     Attributes
     ----------
     reached : bool
-        Whether the home answered at all.
+        Whether the owner replied.
     reply : KeyReply or None
-        What it answered.
+        The owner's reply.
     """
 
     request: RequestId
@@ -110,21 +110,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationAsked:
-    """A peer asks for all configuration in force."""
+    """A peer requests all configuration in force."""
 
     call: CallId
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationReceived:
-    """A peer's configuration in force."""
+    """A peer sent its configuration in force."""
 
     snapshot: SnapshotRecord
 
 
 @dataclass(frozen=True, slots=True)
 class CopyReceived:
-    """A peer gives a copy of a deferred request to keep."""
+    """A peer sent a copy of a deferred request to store."""
 
     call: CallId
     copy: CopyMessage
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyAnswered:
-    """A peer answered whether it keeps a copy; None if it gave no answer."""
+    """Storing a copy at a peer ended; `reply` is None if the peer did not reply."""
 
     request: RequestId
     reply: CopyReply | None
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopiesQueried:
-    """A peer asks what this node has of requests whose home is gone."""
+    """A peer requests this node's state of requests whose owner has failed."""
 
     call: CallId
     query: CopyQuery
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopiesAnswered:
-    """A peer answered an inquiry; None if it gave no answer."""
+    """A query for copies ended; `reply` is None if the peer did not reply."""
 
     node: NodeId
     requests: tuple[RequestId, ...]
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverReceived:
-    """A leaving peer hands over."""
+    """A leaving peer sent a handover."""
 
     call: CallId
     handover: HandoverMessage
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverAnswered:
-    """The successor's answer, None if it gave none."""
+    """A handover was sent; `reply` is None if the successor did not reply."""
 
     node: NodeId
     id: str
--- a/poplarrelay/messages/platform.py
+++ b/poplarrelay/messages/platform.py
@@ -1,4 +1,4 @@
-"""Facts about the platform and the endpoints."""
+"""Messages about the platform and the endpoints."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """Records of a stream, in order.
+    """Records of a stream were read, in order.
 
     Attributes
     ----------
     start : Offset
-        The first offset that was asked for.
+        First requested offset.
     oldest : Offset
-        The oldest offset that the source still keeps.
+        Oldest offset that the log keeps.
     next : Offset
-        The source's next offset.
+        Offset that the log assigns to the next append.
     log_time : float or None
-        The log's time of day when it answered.
+        Time of day at the log when it answered, None if the answer does not state it.
     """
 
     stream: StreamName
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFailed:
-    """The log gave no answer for a stream."""
+    """The log did not answer a read of a stream."""
 
     stream: StreamName
 
 
 @dataclass(frozen=True, slots=True)
 class HostRow:
-    """One endpoint of the platform's host list."""
+    """One endpoint in the platform's host list."""
 
     endpoint: EndpointId
     kind: EndpointKind
@@ -73,13 +73,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HostsListed:
-    """The platform's host list, which lags."""
+    """The platform's host list was read; it lags behind the actual state."""
 
     rows: tuple[HostRow, ...]
 
 
 class NoticeSource(Enum):
-    """Who said that an endpoint is leaving."""
+    """Source of the information that an endpoint is leaving."""
 
     CLOUD = "cloud"
     ENDPOINT = "endpoint"
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoticeReceived:
-    """An endpoint, or all of a failure domain, is leaving."""
+    """An endpoint, or every endpoint of a failure domain, is leaving."""
 
     remaining_s: float
     source: NoticeSource
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """An endpoint's load report."""
+    """An endpoint sent its load report."""
 
     endpoint: EndpointId
     report: LoadReport
@@ -108,12 +108,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswered:
-    """An order was answered, or not.
+    """Sending a model order ended.
 
     Attributes
     ----------
     taken : bool
-        False if the engine refused, or gave no answer, or nothing was sent.
+        Whether the engine accepted the order. False if the engine refused or did not
+        answer, or if the order was not sent.
     """
 
     endpoint: EndpointId
@@ -127,7 +128,7 @@
     Attributes
     ----------
     endpoint : EndpointId or None
-        The endpoint on it, once there is one.
+        The endpoint on the host, None until it exists.
     """
 
     token: str
@@ -141,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartedHostsListed:
-    """All hosts that the cloud API has started."""
+    """The list of hosts that the cloud API has started was read."""
 
     hosts: tuple[StartedHost, ...]
 
@@ -156,6 +157,6 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadFailed:
-    """An endpoint gave no load report."""
+    """An endpoint did not answer with a load report."""
 
     endpoint: EndpointId
--- a/poplarrelay/messages/questions.py
+++ b/poplarrelay/messages/questions.py
@@ -1,4 +1,4 @@
-"""What callers and operators ask."""
+"""Requests of callers and operators to the tick thread."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     "StatusAsked",
 ]
 
-#: Names the thread that waits for a reply.
+#: Identifier of a call whose thread waits for a reply.
 CallId = NewType("CallId", int)
 
 
 @dataclass(frozen=True, slots=True)
 class AddressesAsked:
-    """A caller asks which nodes to use."""
+    """A caller requests the addresses of nodes to use."""
 
     call: CallId
     token_sha256: str
@@ -31,26 +31,26 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusAsked:
-    """An operator asks for the node's view."""
+    """An operator requests the status that this node sees."""
 
     call: CallId
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryAsked:
-    """An operator asks for the newest changes."""
+    """An operator requests the newest configuration changes."""
 
     call: CallId
 
 
 @dataclass(frozen=True, slots=True)
 class LookupAsked:
-    """A caller asks for a deferred request.
+    """A caller requests the state of a deferred request.
 
     Attributes
     ----------
     forwarded : bool
-        Asked by a peer.
+        Whether a peer forwarded the lookup.
     """
 
     call: CallId
@@ -62,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeAsked:
-    """An operator publishes a change.
+    """An operator publishes a configuration change.
 
     Attributes
     ----------
     after : int or None
-        Offset that the operator has seen in force; None means that the change
-        replaces whatever is in force at its position in the log.
+        Log offset of the change that the operator has seen in force, None for none.
     checked : bool
-        Whether `after` was given.
+        Whether the operator stated `after`. If not, the change replaces the one that
+        is in force at its position in the log.
     """
 
     call: CallId
@@ -82,12 +82,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownAsked:
-    """The node is to leave.
+    """An operator or a signal requests that the node leaves.
 
     Attributes
     ----------
     within_s : float
-        Seconds until the process must have ended.
+        Seconds within which the process must end.
     """
 
     within_s: float
--- a/poplarrelay/messages/records.py
+++ b/poplarrelay/messages/records.py
@@ -1,4 +1,4 @@
-"""Records that the nodes keep on the platform's log."""
+"""Records that nodes append to the platform's log."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     Attributes
     ----------
     id : str
-        Chosen by the writer; an append under the same id is a repetition.
+        Identifier that the writer chooses. An append with the same id is a retry.
     subject : str
         ``template/NAME`` or ``deployment/TEAM``.
     after : int or None
@@ -48,7 +48,7 @@
 
 
 class SnapshotEntry(StrictModel):
-    """One subject's state within a snapshot; `body` None is a removal."""
+    """State of one subject in a snapshot; `body` is None if it was removed."""
 
     subject: str
     offset: int
@@ -56,7 +56,7 @@
 
 
 class SnapshotLease(StrictModel):
-    """One duty's lease within a snapshot."""
+    """Lease of one duty in a snapshot."""
 
     duty: str
     offset: int
@@ -67,13 +67,13 @@
 
 
 class SnapshotRecord(StrictModel):
-    """All configuration in force below an offset, written again.
+    """Snapshot of the configuration in force at one offset.
 
     Attributes
     ----------
     covers : int
-        The snapshot holds the effect of all records below this offset, and of
-        none at or above it.
+        The snapshot includes the effect of every record below this offset and of no
+        record at or above it.
     """
 
     kind: Literal["snapshot"] = "snapshot"
@@ -103,14 +103,14 @@
 
 
 class LeaseRecord(StrictModel):
-    """A process takes, renews or gives up a duty.
+    """A process takes, renews or releases the lease of a duty.
 
     Attributes
     ----------
     after : int or None
         Offset of the lease record that this one replaces.
     term_s : float
-        Length of the lease; 0 gives the duty up.
+        Lease term in seconds; 0 releases the lease.
     """
 
     kind: Literal["lease"] = "lease"
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRecord:
-    """A record that no known kind matches, left by another program."""
+    """A record that matches no known kind, written by another program."""
 
     problem: str
 
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A record at its offset."""
+    """A record and its offset in the stream."""
 
     offset: Offset
     value: RecordValue
@@ -154,8 +154,8 @@
 
     Notes
     -----
-    A record of an unknown form must not stop the fold on one node and pass on
-    another, so it becomes an `UnreadableRecord`, which every fold ignores.
+    An invalid record must not stop the fold on one node and pass on another. It
+    becomes an `UnreadableRecord`, which the folds of all nodes ignore.
     """
     try:
         return Record(Offset(offset), _ADAPTER.validate_python(value))
--- a/poplarrelay/outcomes.py
+++ b/poplarrelay/outcomes.py
@@ -1,7 +1,7 @@
-"""What a request finally came to, as tagged dataclasses.
+"""Outcomes of a request, as tagged dataclasses.
 
-`NotRun` is a promise: the work has not run and will not run under this request.
-Whatever cannot be promised is `Unknown`.
+`NotRun` guarantees that the work has not run and will not run under this request. If
+that cannot be guaranteed, the outcome is `Unknown`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class NotRunReason(Enum):
-    """Why a request was given up before it ran."""
+    """Reason for which a request ended before it ran."""
 
     DEADLINE = "deadline"
     LOG_UNAVAILABLE = "log-unavailable"
@@ -35,10 +35,10 @@
 
 
 class UnknownReason(Enum):
-    """Why it cannot be said whether a request ran.
+    """Reason for which it is unknown whether a request ran.
 
-    The last four are said for requests with a key that this node has not looked
-    into: another node may have run the key before.
+    The last four members apply to a request with an idempotency key whose state this
+    node has not looked up: another node may have run the key before.
     """
 
     ATTEMPT_BROKEN = "attempt-broken"
@@ -64,7 +64,7 @@
     cached_tokens : int
         Prompt tokens that the engine found in its prefix cache.
     recomputed_tokens : int
-        Tokens that had been computed before and were computed again.
+        Tokens that were computed again after an earlier computation.
     """
 
     prompt_tokens: int = 0
@@ -73,13 +73,13 @@
     recomputed_tokens: int = 0
 
 
-#: Usage of anything but a completion.
+#: Usage of a request that is not a completion.
 NO_USAGE = Usage()
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """A plain service's whole answer."""
+    """The complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -88,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The request ran and its whole answer is known.
+    """The request ran and its complete answer is known.
 
     Attributes
     ----------
     tokens : tuple of str
-        The whole answer of a completion, empty for a plain service.
+        All tokens of a completion's answer, empty for a plain service.
     service : ServiceAnswer or None
         The answer of a plain service.
     usage : Usage
@@ -106,13 +106,13 @@
 
     @property
     def text(self) -> str:
-        """Return the whole text of a completion."""
+        """Return the complete text of a completion."""
         return "".join(self.tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request did not run and will not."""
+    """The request did not run and will not run."""
 
     reason: NotRunReason
     retry_after_s: float | None = None
@@ -128,12 +128,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Continued:
-    """The node leaves; the caller goes on at another one.
+    """The node is leaving and the caller continues at another node.
 
     Attributes
     ----------
     address : str
-        Callers' address of the other node.
+        Address of the other node's callers' listener.
     """
 
     address: str
--- a/poplarrelay/providers/__init__.py
+++ b/poplarrelay/providers/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform gives: log service, host list, cloud API."""
+"""Clients of the platform's services: log service, host list and cloud API."""
--- a/poplarrelay/providers/hosts.py
+++ b/poplarrelay/providers/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list and the cloud API's notices."""
+"""Clients of the platform's host list and cloud API."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 ]
 
 NOT_MODIFIED = 304
-#: Seconds that a start or stop may take to be answered.
+#: Seconds after which a call to start or stop a host times out.
 START_TIMEOUT_S = 1.0
 
 
 class HostList(Protocol):
-    """The list of endpoints; it lags."""
+    """The platform's list of endpoints, which lags behind the actual state."""
 
     def hosts(self) -> tuple[HostRow, ...]:
         """Return all endpoints.
@@ -41,34 +41,34 @@
         Raises
         ------
         PlatformError
-            If there was no answer.
+            If there was no valid answer.
         """
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Notices:
-    """Notices, and where to go on reading."""
+    """Reclaim notices, and the number at which the next read starts."""
 
     next: int
     notices: tuple[NoticeReceived, ...]
 
 
 class CloudNotices(Protocol):
-    """The cloud API's notices of reclaims."""
+    """The cloud API's reclaim notices."""
 
     def notices(self, start: int, wait_s: float) -> Notices:
-        """Return notices from number `start` on, waiting for the first one.
+        """Return notices from number `start` on; wait up to `wait_s` for the first.
 
         Raises
         ------
         PlatformError
-            If there was no answer.
+            If there was no valid answer.
         """
         ...
 
 
-def _row(item: dict[str, Any]) -> HostRow:
+def _parse_host_row(item: dict[str, Any]) -> HostRow:
     return HostRow(
         endpoint=EndpointId(item["endpoint"]),
         kind=EndpointKind(item["kind"]),
@@ -82,7 +82,7 @@
     )
 
 
-def _notice(item: dict[str, Any]) -> NoticeReceived:
+def _parse_notice(item: dict[str, Any]) -> NoticeReceived:
     endpoint, domain = item.get("endpoint"), item.get("failure_domain")
     return NoticeReceived(
         remaining_s=float(item["remaining_s"]),
@@ -93,34 +93,37 @@
 
 
 class CloudStarts(Protocol):
-    """The cloud API's hosts."""
+    """The cloud API's calls that list, start and stop hosts."""
 
     def started(self) -> tuple[StartedHost, ...]:
-        """Return all hosts that were started and not yet stopped.
+        """Return all hosts that were started and have not stopped.
 
         Raises
         ------
         PlatformError
-            If there was no answer.
+            If there was no valid answer.
         """
         ...
 
     def start(self, order: StartHost) -> bool:
-        """Start a host; return False if it was refused.
+        """Start a host; return False if the cloud API refused.
 
         Raises
         ------
         PlatformError
-            If it is not known whether it was started.
+            If it is unknown whether the host was started, or the lease has expired.
         """
         ...
 
     def stop(self, order: StopHost) -> None:
-        """Stop a host after its grace; failures show in the next list."""
+        """Stop a host after its grace period.
+
+        If the call fails, the host remains in the next list of started hosts.
+        """
         ...
 
 
-def _started(item: dict[str, Any]) -> StartedHost:
+def _parse_started_host(item: dict[str, Any]) -> StartedHost:
     endpoint = item.get("endpoint")
     return StartedHost(
         token=item["token"],
@@ -134,23 +137,23 @@
 
 
 class HttpHostList:
-    """The host list over its HTTP interface.
+    """Client of the host list over HTTP.
 
     Notes
     -----
-    The list is long and seldom changes, so it is asked for on condition that it
-    has changed (``If-None-Match``).
+    The list is long and seldom changes, so it is requested conditionally, with the
+    ``If-None-Match`` header.
     """
 
     def __init__(self, address: str, http_client: JsonHttpClient) -> None:
         self._address = address
         self._http_client = http_client
-        self._tag: str | None = None
+        self._etag: str | None = None
         self._rows: tuple[HostRow, ...] = ()
 
     def hosts(self) -> tuple[HostRow, ...]:
         """Return all endpoints."""
-        condition = {} if self._tag is None else {"If-None-Match": self._tag}
+        condition = {} if self._etag is None else {"If-None-Match": self._etag}
         try:
             reply = self._http_client.call(
                 "GET", self._address, "/hosts", headers=condition
@@ -159,22 +162,22 @@
                 return self._rows
             if not reply.ok:
                 raise PlatformError(f"status {reply.status}")
-            self._rows = tuple(_row(item) for item in reply.value["hosts"])
-            self._tag = reply.headers.get("ETag")
+            self._rows = tuple(_parse_host_row(item) for item in reply.value["hosts"])
+            self._etag = reply.headers.get("ETag")
             return self._rows
         except (CallFailed, KeyError, TypeError, ValueError) as error:
-            raise PlatformError("the host list gave no answer") from error
+            raise PlatformError("the host list gave no valid answer") from error
 
 
 class HttpCloud:
-    """The cloud API over its HTTP interface."""
+    """Client of the cloud API over HTTP."""
 
     def __init__(self, address: str, http_client: JsonHttpClient) -> None:
         self._address = address
         self._http_client = http_client
 
     def notices(self, start: int, wait_s: float) -> Notices:
-        """Return notices from number `start` on, waiting for the first one."""
+        """Return notices from number `start` on; wait up to `wait_s` for the first."""
         path = f"/notices?from={start}&wait_ms={int(wait_s * 1000)}"
         try:
             reply = self._http_client.call(
@@ -183,31 +186,31 @@
             if not reply.ok:
                 raise PlatformError(f"status {reply.status}")
             value = reply.value
-            notices = tuple(_notice(item) for item in value["notices"])
+            notices = tuple(_parse_notice(item) for item in value["notices"])
             return Notices(int(value["next"]), notices)
         except (CallFailed, KeyError, TypeError, ValueError) as error:
-            raise PlatformError("the cloud API gave no answer") from error
+            raise PlatformError("the cloud API gave no valid answer") from error
 
     def started(self) -> tuple[StartedHost, ...]:
-        """Return all hosts that were started and not yet stopped."""
+        """Return all hosts that were started and have not stopped."""
         try:
             reply = self._http_client.call("GET", self._address, "/starts")
             if not reply.ok:
                 raise PlatformError(f"status {reply.status}")
-            return tuple(_started(item) for item in reply.value["starts"])
+            return tuple(_parse_started_host(item) for item in reply.value["starts"])
         except (CallFailed, KeyError, TypeError, ValueError) as error:
-            raise PlatformError("the cloud API gave no answer") from error
+            raise PlatformError("the cloud API gave no valid answer") from error
 
     def start(self, order: StartHost) -> bool:
-        """Start a host; return False if it was refused.
+        """Start a host; return False if the cloud API refused.
 
         Notes
         -----
-        The lease's remaining term is compared right before the call, since the
-        process may have been paused after the tick thread decided.
+        The expiry of the lease is checked immediately before the call, because the
+        process may have been paused after the tick thread issued the order.
         """
         if time.monotonic() >= order.expires_at:
-            raise PlatformError("the lease is over")
+            raise PlatformError("the lease has expired")
         body = {
             "token": order.token,
             "model": order.model,
@@ -223,7 +226,7 @@
         return reply.ok
 
     def stop(self, order: StopHost) -> None:
-        """Stop a host after its grace; failures show in the next list."""
+        """Stop a host after its grace period; do nothing if the lease has expired."""
         if time.monotonic() >= order.expires_at:
             return
         body = {"token": order.token, "grace_s": order.grace_s}
--- a/poplarrelay/providers/http.py
+++ b/poplarrelay/providers/http.py
@@ -1,4 +1,4 @@
-"""JSON calls over HTTP, with typed failures and no hidden retries."""
+"""JSON calls over HTTP, with typed failures and without automatic retries."""
 
 from __future__ import annotations
 
@@ -18,18 +18,20 @@
 
 __all__ = ["CallFailed", "JsonHttpClient", "JsonReply", "TrafficMeter"]
 
-#: Bytes of a call's request line and headers beyond its path, about.
+#: Approximate bytes of a call's request line and headers, without the path.
 HEAD_BYTES = 140
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class CallFailed(PoplarrelayError):
-    """A call got no answer.
+    """A call got no complete answer.
 
     Parameters
     ----------
     sent : bool
-        Whether a byte of the call may have reached the other side.
+        Whether any byte of the call may have reached the server.
+    cause : Exception
+        Error of the HTTP client.
     """
 
     def __init__(self, sent: bool, cause: Exception) -> None:
@@ -39,7 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class JsonReply:
-    """An answer; `value` is None if the body, `raw`, is no JSON."""
+    """An HTTP answer.
+
+    Attributes
+    ----------
+    value : Any
+        Decoded body, None if the body is not JSON.
+    raw : bytes
+        The body as received.
+    """
 
     status: int
     value: Any
@@ -48,7 +58,7 @@
 
     @property
     def ok(self) -> bool:
-        """Return whether the status is in the 200s."""
+        """Return whether the status is a success (200 to 299)."""
         return 200 <= self.status < 300
 
 
@@ -60,10 +70,10 @@
 
 
 class TrafficMeter(Protocol):
-    """Counts the bytes of calls."""
+    """Counter of the bytes that calls send and receive."""
 
     def add(self, path: str, sent: int, received: int) -> None:
-        """Count one call."""
+        """Add the bytes of one call."""
         ...
 
 
@@ -72,23 +82,23 @@
 
 
 class JsonHttpClient:
-    """Makes calls to any address.
+    """Client that sends JSON calls to any address.
 
     Parameters
     ----------
     connect_timeout_s : float
-        Seconds until a connection must stand.
+        Seconds after which an attempt to connect times out.
     pools : int
-        Addresses to which connections are kept.
+        Number of addresses to which connections are kept open.
     connections : int
-        Connections kept to one address.
+        Number of connections kept open to one address.
     meter : TrafficMeter or None
-        Counts the bytes of all calls.
+        Counter of the bytes of all calls.
 
     Notes
     -----
-    urllib3 repeats calls by default. That is switched off: a second send of an
-    append, an order or a booking is for the caller to decide.
+    urllib3 retries by default. Retries are switched off because a second send of an
+    append, an order or a booking can take effect twice; the caller decides on it.
     """
 
     def __init__(
@@ -113,23 +123,23 @@
         timeout_s: float = 1.0,
         headers: Mapping[str, str] | None = None,
     ) -> JsonReply:
-        """Make one call.
+        """Send one call and return the answer.
 
         Parameters
         ----------
         method, address, path : str
-            What to call; `address` is ``host:port``.
+            HTTP method, ``host:port`` and path of the call.
         body : Any
             JSON value, None for no body.
         timeout_s : float
             Seconds without a byte after which the call fails.
         headers : mapping or None
-            More headers.
+            Additional headers.
 
         Raises
         ------
         CallFailed
-            If there was no whole answer.
+            If there was no complete answer.
         """
         timeout = urllib3.Timeout(connect=self._connect_timeout_s, read=timeout_s)
         content = None if body is None else orjson.dumps(body)
--- a/poplarrelay/providers/log.py
+++ b/poplarrelay/providers/log.py
@@ -1,4 +1,4 @@
-"""The platform's log service: append-only streams with offsets."""
+"""Client of the platform's log service: append-only streams with offsets."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 __all__ = ["HttpLogService", "LogBatch", "LogService"]
 
-#: Records in one answer.
+#: Maximum number of records in one answer.
 READ_LIMIT = 500
-#: Refusals without a hint are tried again after this many seconds.
+#: Seconds until a retry if a refusal has no valid ``Retry-After`` header.
 DEFAULT_RETRY_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class LogBatch:
-    """Records that were read.
+    """The result of one read.
 
     Attributes
     ----------
     oldest, next : Offset
-        Oldest offset kept, and the offset that the next append gets.
+        Oldest offset that the log keeps, and the offset of the next append.
     time : float or None
-        The log's time of day.
+        Time of day at the log service, None if the answer does not state it.
     """
 
     oldest: Offset
@@ -38,48 +38,48 @@
 
 
 class LogService(Protocol):
-    """What the nodes need of a log service."""
+    """Interface of a log service."""
 
     def append(self, stream: StreamName, values: Sequence[RecordValue]) -> Offset:
-        """Append records in one step and return the first one's offset.
+        """Append records atomically and return the offset of the first one.
 
         Raises
         ------
         LogRefused
-            If nothing was appended.
+            If the log refused and appended nothing.
         LogUnavailable
-            If it is not known whether anything was.
+            If it is unknown whether the records were appended.
         """
         ...
 
     def read(self, stream: StreamName, start: Offset, wait_s: float) -> LogBatch:
-        """Return records from `start` on, waiting for the first one.
+        """Return records from `start` on; wait up to `wait_s` for the first.
 
         Raises
         ------
         LogRefused, LogUnavailable
-            If there was no answer.
+            If the log refused or gave no valid answer.
         """
         ...
 
 
 def _retry_after(reply: JsonReply) -> float:
-    hint = reply.headers.get("Retry-After")
+    retry_after = reply.headers.get("Retry-After")
     try:
-        return DEFAULT_RETRY_S if hint is None else float(hint)
+        return DEFAULT_RETRY_S if retry_after is None else float(retry_after)
     except ValueError:
         return DEFAULT_RETRY_S
 
 
 class HttpLogService:
-    """The log service over its HTTP interface.
+    """Client of the log service over HTTP.
 
     Parameters
     ----------
     address : str
         ``host:port`` of the service.
     timeout_s : float
-        Seconds that an append, or a read beyond its wait, may take.
+        Timeout of an append in seconds. For a read, its `wait_s` is added.
     """
 
     def __init__(
@@ -90,14 +90,14 @@
         self._http_client = http_client
 
     def append(self, stream: StreamName, values: Sequence[RecordValue]) -> Offset:
-        """Append records in one step and return the first one's offset."""
+        """Append records atomically and return the offset of the first one."""
         body = {"records": [encode_record(value) for value in values]}
         path = f"/streams/{stream}/records"
         value = self._call("POST", path, body, self._timeout_s)
         return Offset(int(value["offset"]))
 
     def read(self, stream: StreamName, start: Offset, wait_s: float) -> LogBatch:
-        """Return records from `start` on, waiting for the first one."""
+        """Return records from `start` on; wait up to `wait_s` for the first."""
         path = (
             f"/streams/{stream}/records"
             f"?from={start}&wait_ms={int(wait_s * 1000)}&limit={READ_LIMIT}"
--- a/poplarrelay/settings.py
+++ b/poplarrelay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node: a JSON file, checked as a whole."""
+"""Settings of a node, read from a JSON file and validated."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class StrictModel(BaseModel):
-    """Base of all checked files: unknown fields are faults."""
+    """Base class of validated JSON models; unknown fields are faults."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -49,7 +49,7 @@
 
 
 class CallersSettings(ListenerSettings):
-    """The callers' listener; each open stream takes one of its threads."""
+    """The callers' listener; each open stream occupies one of its threads."""
 
     threads: int = Field(default=220, ge=2, le=1024)
 
@@ -90,12 +90,12 @@
 
 
 class MovePolicy(Enum):
-    """How running work leaves an endpoint that is going.
+    """How a node moves running requests off an endpoint that is leaving.
 
     CHEAPEST
-        Finish, move the KV cache or compute again, whichever costs least.
+        Finish the request, move its KV cache or recompute it, by the lowest cost.
     RECOMPUTE
-        Always compute again; for engines that cannot export their cache.
+        Always recompute; for engines that cannot export their cache.
     MOVE_CACHE
         Always move the cache.
     """
@@ -106,10 +106,10 @@
 
 
 class RoutingPolicy(Enum):
-    """How an endpoint is chosen; all but the first are baselines to measure against.
+    """How a node chooses an endpoint; all but the first are baselines for benchmarks.
 
     PREDICTED
-        By predicted first-token time, price and cached prompt heads.
+        By predicted first-token time, price and cached prompt prefixes.
     """
 
     PREDICTED = "predicted"
@@ -119,19 +119,20 @@
 
 
 class LimitSettings(StrictModel):
-    """Bounds on what a node holds, and choices within them.
+    """Resource limits and policies of a node.
 
     Attributes
     ----------
     answers_kept, answers_kept_bytes : int
-        Answers kept for repetitions under a key and for deferred requests; when
-        they are full, new keys and deferred requests are refused.
+        Maximum number and bytes of the answers kept for retries under an idempotency
+        key and for deferred requests. At the limit, the node refuses new keys and
+        deferred requests.
     key_memory_s : float
-        Seconds for which a key is remembered.
+        Seconds for which the node keeps the state of an idempotency key.
     watched_endpoints : int
-        Endpoints of one kind that this node uses, if there are more.
+        Maximum number of endpoints of one kind that this node uses.
     kv_tokens_per_s : float
-        Speed at which cached tokens move between engines.
+        Rate at which cached tokens move between engines, in tokens per second.
     """
 
     max_body_bytes: int = Field(default=4_000_000, ge=1024)
@@ -160,9 +161,9 @@
     callers, peers : CallersSettings, ListenerSettings
         The callers' listener, and the one for peers, operators and metrics.
     seeds : tuple of str
-        Peer addresses to join by.
+        Peer addresses that the node contacts to join.
     operator_token_sha256 : str or None
-        Hash of the token that operators' changes must bear, None for no check.
+        SHA-256 of the token that operators' changes must carry, None for no check.
     """
 
     node: str = Field(pattern=NAME_PATTERN)
@@ -178,12 +179,12 @@
 
     @classmethod
     def from_file(cls, path: Path) -> NodeSettings:
-        """Read and check a settings file.
+        """Read and validate a settings file.
 
         Raises
         ------
         SettingsError
-            With every fault of the file.
+            If the file has faults; the error holds all of them.
         """
         return load_json_file(cls, path)
 
@@ -192,9 +193,9 @@
 
 
 def field_errors(error: ValidationError) -> tuple[FieldError, ...]:
-    """Return the faults that a validation error holds, without the values.
+    """Return the faults of a validation error, without the faulty values.
 
-    Values stay out because files hold secrets and messages are logged.
+    Files hold secrets and the faults are logged, so the values are left out.
     """
     return tuple(
         FieldError(".".join(str(part) for part in item["loc"]) or "(file)", item["msg"])
@@ -203,7 +204,7 @@
 
 
 def load_json_file(model: type[ModelT], path: Path) -> ModelT:
-    """Read a JSON file into a checked model.
+    """Read a JSON file into a validated model.
 
     Parameters
     ----------
--- a/poplarrelay/tests/test_logs.py
+++ b/poplarrelay/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines never hold back those who write them."""
+"""Tests of the bounded log queue."""
 
 import logging
 from queue import Queue
@@ -7,9 +7,8 @@
 
 
 def test_lines_beyond_the_bound_are_dropped_and_counted():
-    # Nobody empties standard output. The lines that do not fit are dropped, the
-    # caller goes on at once, and the first line that fits again is followed by one
-    # that tells how many are missing.
+    # No process reads standard output, so the queue is full. The handler must drop the
+    # excess lines without blocking, and report their count after the next queued line.
     queue: Queue[logging.LogRecord] = Queue(3)
     handler = BoundedQueueHandler(queue)
     log = logging.getLogger("poplarrelay.logs")
--- a/poplarrelay/web/__init__.py
+++ b/poplarrelay/web/__init__.py
@@ -1,1 +1,1 @@
-"""Listeners and answers over HTTP, by CherryPy and its server."""
+"""HTTP listeners and responses, built on CherryPy and its server."""
--- a/poplarrelay/web/exchange.py
+++ b/poplarrelay/web/exchange.py
@@ -1,4 +1,4 @@
-"""Read requests and write JSON answers within a CherryPy handler."""
+"""Functions for CherryPy handlers that read requests and write JSON responses."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 
 def header(name: str) -> str | None:
-    """Return a request header, None if absent."""
+    """Return the value of a request header, None if it is absent."""
     value = cherrypy.request.headers.get(name)
     return None if value is None else str(value)
 
 
 def reject(error: CallerError) -> ProblemResponse:
-    """Return the response to raise for an unacceptable request."""
+    """Return the exception that answers an unacceptable request."""
     return ProblemResponse(problem_from_error(error))
 
 
 def require_method(*allowed: str) -> None:
-    """Answer 405 unless the request has one of the methods."""
+    """Answer 405 unless the request uses one of the allowed methods."""
     if cherrypy.request.method not in allowed:
         cherrypy.response.headers["Allow"] = ", ".join(allowed)
         raise ProblemResponse(
@@ -60,9 +60,9 @@
     Raises
     ------
     BodyTooLarge
-        If it is, or says that it is, longer than `limit` bytes.
+        If the body or its ``Content-Length`` exceeds `limit` bytes.
     MalformedBody
-        If the sender stops within it.
+        If the sender stops before the end of the body.
     """
     length = header("Content-Length")
     if length is not None and (not length.isdigit() or int(length) > limit):
@@ -92,19 +92,19 @@
 
 
 def close_connection() -> None:
-    """Close the connection after the answer, with the body left unread."""
+    """Close the connection after the response, without reading the rest of the body."""
     close = cherrypy.request.wsgi_environ.get(CLOSE_CONNECTION)
     if close is not None:
         close()
 
 
 def parse_body(body: bytes, model: type[ModelT]) -> ModelT:
-    """Return a JSON body as a checked model.
+    """Return a JSON body as a validated model.
 
     Raises
     ------
     MalformedBody
-        With every fault, but none of the values.
+        If the body has faults. The message lists all of them, without the values.
     """
     try:
         value = orjson.loads(body)
@@ -118,7 +118,7 @@
 
 
 def read_json(model: type[ModelT], limit: int) -> ModelT:
-    """Return the request's body as a checked model, or answer 4xx."""
+    """Return the request's body as a validated model, or answer 4xx."""
     try:
         return parse_body(read_body(limit), model)
     except CallerError as error:
@@ -126,7 +126,7 @@
 
 
 def answer_json(value: Any, status: int = 200) -> bytes:
-    """Return JSON as the body of the response."""
+    """Set the response's status and type, and return the value as its JSON body."""
     body = orjson.dumps(value)
     cherrypy.response.status = status
     cherrypy.response.headers["Content-Type"] = "application/json"
--- a/poplarrelay/web/listener.py
+++ b/poplarrelay/web/listener.py
@@ -1,4 +1,4 @@
-"""A listener: CherryPy's server with a thread pool of its own."""
+"""HTTP listeners: each is a CherryPy server with its own thread pool."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
     "stop_listeners",
 ]
 
-#: Seconds that a sender may pause within a request.
+#: Maximum seconds for which a client can pause while it sends a request.
 SENDER_TIMEOUT_S = 10
-#: Key in the WSGI environment of a function that closes the connection.
+#: Key of the WSGI environment for a function that closes the connection.
 CLOSE_CONNECTION = "poplarrelay.close_connection"
-#: Key in the WSGI environment of the monotonic time at which the request came.
+#: Key of the WSGI environment for the monotonic time at which the request arrived.
 QUEUED_AT = "poplarrelay.queued_at"
-#: Bytes by which the server's own bound on bodies is wider than the handlers', so
-#: that handlers refuse with a typed problem and the server only backs them up.
+#: Bytes by which the server's body limit exceeds the handlers' limit. The handlers
+#: reject large bodies with a typed problem; the server's limit is only a fallback.
 BODY_SLACK_BYTES = 262_144
-#: Connections that wait for a thread; more are refused at once, since a request
-#: that waits unread has no deadline that anyone watches.
-ACCEPT_QUEUE = 64
-#: Seconds that a stop waits for requests in progress: a node that is told twice to
-#: leave has five from then to its end, of which the hand-over takes two.
-STOP_S = 2.0
+#: Connections that wait for a thread. Further connections are refused immediately,
+#: because no deadline is enforced for a request that has not been read.
+ACCEPT_QUEUE_SIZE = 64
+#: Seconds that a stop waits for requests in progress. A node must end five seconds
+#: after the second stop signal, and the handover uses two of them.
+STOP_TIMEOUT_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class ListenerLimits:
-    """Bounds of a listener."""
+    """Limits of a listener."""
 
     threads: int
     max_header_bytes: int = 32_768
@@ -49,8 +49,8 @@
     sender_timeout_s: int = SENDER_TIMEOUT_S
 
 
-def _ignore(*args: object, **kwargs: object) -> None:
-    """Drop what the server would write about requests and broken connections."""
+def _discard_log(*args: object, **kwargs: object) -> None:
+    """Discard the server's log output about requests and broken connections."""
 
 
 def make_application(root: object) -> cherrypy.Application:
@@ -58,8 +58,8 @@
 
     Notes
     -----
-    Bodies are read by the handlers, which know how large they may be. Nothing of
-    a failure but its kind is told to the caller.
+    The handlers read the bodies, because each handler has its own size limit. A caller
+    receives only the kind of a failure, no message or traceback.
     """
     config: dict[str, dict[str, Any]] = {
         "/": {
@@ -73,17 +73,17 @@
     }
     application = cherrypy.Application(root, "", config)
     application.log.screen = False
-    application.log.access = _ignore
+    application.log.access = _discard_log
     return application
 
 
-class _StampingServer(wsgi.Server):
-    """Notes when a connection with a request was queued for a thread.
+class _TimestampingServer(wsgi.Server):
+    """Server that records when a connection with a request was queued for a thread.
 
     Notes
     -----
-    A request may wait for a free thread for longer than its caller does. Its
-    deadline counts from when it came, not from when a thread took it.
+    A request can wait for a free thread beyond its deadline. The deadline therefore
+    counts from the arrival of the request, not from the time a thread accepts it.
     """
 
     def process_conn(self, conn: Any) -> None:
@@ -92,12 +92,12 @@
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Tells a handler when its request came, and lets it close the connection.
+    """WSGI gateway that gives handlers the arrival time and a way to close.
 
     Notes
     -----
-    Without the latter the server reads the rest of a body that the handler has refused
-    before it sends the answer, so a sender that stops would never get one.
+    A handler closes the connection when it rejects a body. Otherwise the server reads
+    the rest of the body before it responds, so a sender that stops gets no response.
     """
 
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
@@ -111,24 +111,24 @@
 
 
 class Listener:
-    """A server on one address.
+    """HTTP server on one address.
 
     Parameters
     ----------
     host : str
-        IP number to listen on.
+        IP address to listen on.
     port : int
-        Port, 0 for any free one.
+        Port, 0 for any free port.
     root : object
         CherryPy tree of handlers.
     limits : ListenerLimits
-        Bounds.
+        Limits of the listener.
     """
 
     def __init__(
         self, host: str, port: int, root: object, limits: ListenerLimits
     ) -> None:
-        self._server = _StampingServer(
+        self._server = _TimestampingServer(
             (host, port),
             make_application(root),
             numthreads=limits.threads,
@@ -136,23 +136,23 @@
             request_queue_size=128,
             timeout=limits.sender_timeout_s,
             shutdown_timeout=1,
-            accepted_queue_size=ACCEPT_QUEUE,
+            accepted_queue_size=ACCEPT_QUEUE_SIZE,
             accepted_queue_timeout=1,
         )
         self._server.gateway = _Gateway
         self._server.max_request_header_size = limits.max_header_bytes
         self._server.max_request_body_size = limits.max_body_bytes + BODY_SLACK_BYTES
-        self._server.error_log = _ignore  # type: ignore[method-assign]
+        self._server.error_log = _discard_log  # type: ignore[method-assign]
         self._thread: threading.Thread | None = None
 
     @property
     def address(self) -> str:
-        """Return ``host:port`` as bound."""
+        """Return the bound address as ``host:port``."""
         host, port = self._server.bind_addr[:2]
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Bind, and serve on a thread of its own.
+        """Bind the address and serve it in a new thread.
 
         Raises
         ------
@@ -166,27 +166,27 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop to accept, and wait a moment for requests in progress."""
+        """Stop accepting and wait up to `STOP_TIMEOUT_S` for requests in progress."""
         stop_listeners([self])
 
     def begin_stop(self) -> threading.Thread:
-        """Stop to accept, and return the thread that waits for requests in progress."""
+        """Stop accepting and return the thread that waits for requests in progress."""
         thread = threading.Thread(target=self._server.stop, daemon=True)
         thread.start()
         return thread
 
 
 def stop_listeners(listeners: Sequence[Listener]) -> None:
-    """Stop several listeners, and wait a moment for all their requests in progress.
+    """Stop several listeners and wait for their requests in progress.
 
     Notes
     -----
-    The server's own stop waits for a handler however long that takes. A node with a
-    request in progress ended 5.5 s after its second stop signal, where operators are
-    told five; a handler that hangs held a listener for 10 s. All listeners share one
-    wait, so the time does not grow with their number.
+    The server's stop method waits for handlers without a bound. A node with a request
+    in progress ended 5.5 s after its second stop signal, although the documented limit
+    is five seconds; a hanging handler held a listener for 10 s. All listeners share
+    one timeout, `STOP_TIMEOUT_S`, so the time does not grow with their number.
     """
     threads = [listener.begin_stop() for listener in listeners]
-    ends_at = time.monotonic() + STOP_S
+    ends_at = time.monotonic() + STOP_TIMEOUT_S
     for thread in threads:
         thread.join(timeout=max(0.0, ends_at - time.monotonic()))
--- a/poplarrelay/web/problems.py
+++ b/poplarrelay/web/problems.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457) for errors and for outcomes that are no answers."""
+"""Problem details (RFC 9457) for errors and for outcomes without an answer."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A problem document.
+    """Problem document.
 
     Attributes
     ----------
     outcome : str or None
-        ``not_run`` or ``unknown``; None if the request was not acceptable.
+        ``not_run``, ``unknown`` or None.
     retry_after_s : float or None
-        When coming back can help.
+        Seconds until a retry can succeed, None if not known.
     """
 
     status: int
@@ -56,7 +56,7 @@
     retry_after_s: float | None = None
 
     def to_json(self) -> bytes:
-        """Return the document."""
+        """Return the encoded document."""
         document: dict[str, object] = {
             "type": _PREFIX + self.slug,
             "title": self.title,
@@ -72,12 +72,12 @@
 
 
 def problem_from_error(error: CallerError) -> Problem:
-    """Return the document of an unacceptable request; it was certainly not run."""
+    """Return the problem of an unacceptable request, which was not run."""
     return Problem(error.status, error.slug, error.title, str(error), outcome="not_run")
 
 
 def problem_from_outcome(outcome: NotRun | Unknown) -> Problem:
-    """Return the document of an outcome that is no answer."""
+    """Return the problem of an outcome without an answer."""
     if isinstance(outcome, NotRun):
         status = _NOT_RUN_STATUS.get(outcome.reason, HTTPStatus.SERVICE_UNAVAILABLE)
         title = "The request was not run"
@@ -96,14 +96,14 @@
 
 
 class ProblemResponse(cherrypy.HTTPError):
-    """Raised by a handler to answer with a problem document."""
+    """Exception with which a handler answers with a problem document."""
 
     def __init__(self, problem: Problem) -> None:
         super().__init__(problem.status, problem.title)
         self.problem = problem
 
     def set_response(self) -> None:
-        """Write the document into CherryPy's response."""
+        """Write the problem document into CherryPy's response."""
         response = cherrypy.serving.response
         response.stream = False
         response.status = self.problem.status
@@ -117,7 +117,7 @@
 
 
 def error_page(status: str, message: str, traceback: str, version: str) -> bytes:
-    """Return CherryPy's own errors as problem documents, without any trace."""
+    """Return the problem document of a CherryPy error, without its traceback."""
     code = int(status.split()[0])
     cherrypy.response.headers["Content-Type"] = PROBLEM_TYPE
     phrase = HTTPStatus(code).phrase
--- a/poplarrelay/web/tests/test_listener.py
+++ b/poplarrelay/web/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Stopping listeners while requests hang."""
+"""Tests of stopping listeners with requests in progress."""
 
 import socket
 import threading
@@ -10,7 +10,7 @@
 
 
 class Hanging:
-    """Answers when it is let go."""
+    """Handler that answers when the test releases it."""
 
     def __init__(self):
         self.entered = threading.Event()
@@ -23,7 +23,7 @@
         return b""
 
 
-def _ask(address):
+def _send_request(address):
     host, port = address.split(":")
     connection = socket.create_connection((host, int(port)))
     connection.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -31,15 +31,15 @@
 
 
 def test_listeners_with_hanging_requests_stop_in_time():
-    # An operator hurries a node whose callers' and peers' listeners each have a request
-    # in progress that does not end. The server's own stop waits for it without bound,
-    # so the process stayed until the request ended or the operators killed it.
+    # Both listeners of a node have a request in progress that hangs, and the operator
+    # sends a second stop signal. The server's stop method waits without a bound, so the
+    # process ran until the requests ended or an operator killed it.
     limits = ListenerLimits(2, 10_000, 10_000)
     roots = [Hanging(), Hanging()]
     listeners = [Listener("127.0.0.1", 0, root, limits) for root in roots]
     for listener in listeners:
         listener.start()
-    connections = [_ask(listener.address) for listener in listeners]
+    connections = [_send_request(listener.address) for listener in listeners]
     for root in roots:
         assert root.entered.wait(5.0)
     began = time.monotonic()
@@ -49,5 +49,6 @@
         root.release.set()
     for connection in connections:
         connection.close()
-    # Five seconds from the second signal to the end, less two of the hand-over.
+    # The process must end within five seconds of the second signal; the handover uses
+    # two of them.
     assert took_s < 3.0
