--- a/poplarrelay/engines/http.py
+++ b/poplarrelay/engines/http.py
@@ -172,8 +172,10 @@
         if response.status != 200:
             response.close()
             if response.status in _NOT_STARTED_STATUSES:
-                raise EndpointRefused(f"status {response.status}")
-            raise EndpointBroken(f"status {response.status}")
+                raise EndpointRefused(
+                    f"the engine answered with status {response.status}"
+                )
+            raise EndpointBroken(f"the engine answered with status {response.status}")
         return response
 
     def export_cache(self, attempt: Attempt) -> bool:
@@ -266,7 +268,7 @@
         except (HTTPError, OSError) as error:
             raise EndpointBroken(type(error).__name__) from error
         if response.status == 429:
-            raise EndpointRefused("status 429")
+            raise EndpointRefused("the service answered with status 429")
         content_type = response.headers.get("Content-Type", "")
         return ServiceAnswer(response.status, content_type, body)
 
@@ -284,7 +286,7 @@
     try:
         reply = http_client.call("GET", address, "/load")
         if not reply.ok:
-            raise EndpointBroken(f"status {reply.status}")
+            raise EndpointBroken(f"the load report has status {reply.status}")
         value = reply.value
         report = LoadReport(
             running=int(value["running"]),
--- a/poplarrelay/exception.py
+++ b/poplarrelay/exception.py
@@ -127,7 +127,7 @@
     """
 
     def __init__(self, retry_after_s: float) -> None:
-        super().__init__(f"refused, retry after {retry_after_s} s")
+        super().__init__(f"the log service refused, retry after {retry_after_s} s")
         self.retry_after_s = retry_after_s
 
 
--- a/poplarrelay/messages/effects.py
+++ b/poplarrelay/messages/effects.py
@@ -305,7 +305,7 @@
     Attributes
     ----------
     clean : bool
-        Whether all requests ended before the process stops.
+        Whether no request was interrupted and no state was left without a handover.
     """
 
     clean: bool
--- a/poplarrelay/messages/encoding.py
+++ b/poplarrelay/messages/encoding.py
@@ -70,7 +70,7 @@
     )
 
 
-def decode_outcome(stored: OutcomeMessage) -> Outcome:
+def decode_outcome(message: OutcomeMessage) -> Outcome:
     """Return the outcome that a message encodes.
 
     Examples
@@ -79,21 +79,21 @@
     >>> decode_outcome(encode_outcome(outcome)) == outcome
     True
     """
-    if stored.tag == "not_run":
-        return NotRun(NotRunReason(stored.reason), stored.retry_after_s)
-    if stored.tag == "unknown":
-        return Unknown(UnknownReason(stored.reason), stored.retry_after_s)
+    if message.tag == "not_run":
+        return NotRun(NotRunReason(message.reason), message.retry_after_s)
+    if message.tag == "unknown":
+        return Unknown(UnknownReason(message.reason), message.retry_after_s)
     service = None
-    if stored.status:
-        body = b64decode(stored.body)
-        service = ServiceAnswer(stored.status, stored.content_type, body)
+    if message.status:
+        body = b64decode(message.body)
+        service = ServiceAnswer(message.status, message.content_type, body)
     usage = Usage(
-        stored.prompt_tokens,
-        stored.completion_tokens,
-        stored.cached_tokens,
-        stored.recomputed_tokens,
+        message.prompt_tokens,
+        message.completion_tokens,
+        message.cached_tokens,
+        message.recomputed_tokens,
     )
-    return Answered(stored.tokens, service, usage)
+    return Answered(message.tokens, service, usage)
 
 
 def encode_request(
@@ -129,40 +129,40 @@
     )
 
 
-def decode_work(stored: RequestMessage) -> Work:
+def decode_work(message: RequestMessage) -> Work:
     """Return the work of the request that a message encodes."""
     return Work(
-        kind=WorkKind(stored.kind),
-        name=stored.name,
-        method=stored.method,
-        path=stored.path,
-        content_type=stored.content_type,
-        body=b64decode(stored.body),
-        prompt=stored.prompt,
-        max_tokens=stored.max_tokens,
-        prompt_tokens=stored.prompt_tokens,
-        prefix=stored.prefix,
-        repeatable=stored.repeatable,
-        fingerprint=stored.fingerprint,
+        kind=WorkKind(message.kind),
+        name=message.name,
+        method=message.method,
+        path=message.path,
+        content_type=message.content_type,
+        body=b64decode(message.body),
+        prompt=message.prompt,
+        max_tokens=message.max_tokens,
+        prompt_tokens=message.prompt_tokens,
+        prefix=message.prefix,
+        repeatable=message.repeatable,
+        fingerprint=message.fingerprint,
     )
 
 
-def decode_request(stored: RequestMessage, now: float) -> Request:
+def decode_request(message: RequestMessage, now: float) -> Request:
     """Return the row of the request that a message encodes."""
     request = Request(
-        id=RequestId(stored.id),
-        team=TeamId(stored.team),
-        work=decode_work(stored),
-        request_class=RequestClass(stored.request_class),
-        arrived=now - stored.age_s,
-        deadline=now + stored.remaining_s,
-        first_token_s=stored.first_token_s,
-        key=None if stored.key is None else IdempotencyKey(stored.key),
-        deferred=stored.deferred,
-        copies=stored.copies,
+        id=RequestId(message.id),
+        team=TeamId(message.team),
+        work=decode_work(message),
+        request_class=RequestClass(message.request_class),
+        arrived=now - message.age_s,
+        deadline=now + message.remaining_s,
+        first_token_s=message.first_token_s,
+        key=None if message.key is None else IdempotencyKey(message.key),
+        deferred=message.deferred,
+        copies=message.copies,
     )
-    if stored.outcome is not None:
-        request.outcome = decode_outcome(stored.outcome)
+    if message.outcome is not None:
+        request.outcome = decode_outcome(message.outcome)
     return request
 
 
--- a/poplarrelay/messages/records.py
+++ b/poplarrelay/messages/records.py
@@ -21,7 +21,7 @@
     "SnapshotRecord",
     "UnreadableRecord",
     "encode_record",
-    "read_record",
+    "decode_record",
 ]
 
 
@@ -149,7 +149,7 @@
     value: RecordValue
 
 
-def read_record(offset: int, value: Any) -> Record:
+def decode_record(offset: int, value: Any) -> Record:
     """Return the typed record for a decoded JSON value.
 
     Notes
--- a/poplarrelay/providers/hosts.py
+++ b/poplarrelay/providers/hosts.py
@@ -161,7 +161,9 @@
             if reply.status == NOT_MODIFIED:
                 return self._rows
             if not reply.ok:
-                raise PlatformError(f"status {reply.status}")
+                raise PlatformError(
+                    f"the host list answered with status {reply.status}"
+                )
             self._rows = tuple(_parse_host_row(item) for item in reply.value["hosts"])
             self._etag = reply.headers.get("ETag")
             return self._rows
@@ -184,7 +186,9 @@
                 "GET", self._address, path, timeout_s=wait_s + 1.0
             )
             if not reply.ok:
-                raise PlatformError(f"status {reply.status}")
+                raise PlatformError(
+                    f"the cloud API answered with status {reply.status}"
+                )
             value = reply.value
             notices = tuple(_parse_notice(item) for item in value["notices"])
             return Notices(int(value["next"]), notices)
@@ -196,7 +200,9 @@
         try:
             reply = self._http_client.call("GET", self._address, "/starts")
             if not reply.ok:
-                raise PlatformError(f"status {reply.status}")
+                raise PlatformError(
+                    f"the cloud API answered with status {reply.status}"
+                )
             return tuple(_parse_started_host(item) for item in reply.value["starts"])
         except (CallFailed, KeyError, TypeError, ValueError) as error:
             raise PlatformError("the cloud API gave no valid answer") from error
--- a/poplarrelay/providers/log.py
+++ b/poplarrelay/providers/log.py
@@ -8,7 +8,12 @@
 
 from poplarrelay.exception import LogRefused, LogUnavailable
 from poplarrelay.identifiers import Offset, StreamName
-from poplarrelay.messages.records import Record, RecordValue, encode_record, read_record
+from poplarrelay.messages.records import (
+    Record,
+    RecordValue,
+    decode_record,
+    encode_record,
+)
 from poplarrelay.providers.http import CallFailed, JsonHttpClient, JsonReply
 
 __all__ = ["HttpLogService", "LogBatch", "LogService"]
@@ -105,7 +110,8 @@
         value = self._call("GET", path, None, wait_s + self._timeout_s)
         time = value.get("time")
         records = tuple(
-            read_record(int(item["offset"]), item["value"]) for item in value["records"]
+            decode_record(int(item["offset"]), item["value"])
+            for item in value["records"]
         )
         return LogBatch(
             Offset(int(value["oldest"])), Offset(int(value["next"])), time, records
@@ -121,5 +127,5 @@
         if reply.status == 429:
             raise LogRefused(_retry_after(reply))
         if not reply.ok or not isinstance(reply.value, dict):
-            raise LogUnavailable(f"status {reply.status}")
+            raise LogUnavailable(f"the log service answered with status {reply.status}")
         return reply.value
--- a/poplarrelay/web/listener.py
+++ b/poplarrelay/web/listener.py
@@ -34,8 +34,8 @@
 #: Connections that wait for a thread. Further connections are refused immediately,
 #: because no deadline is enforced for a request that has not been read.
 ACCEPT_QUEUE_SIZE = 64
-#: Seconds that a stop waits for requests in progress. A node must end five seconds
-#: after the second stop signal, and the handover uses two of them.
+#: Seconds that a stop waits for requests in progress. A node must end within five
+#: seconds of the second stop signal, and the handover uses two of them.
 STOP_TIMEOUT_S = 2.0
 
 
