--- a/poplarrelay/messages/encoding.py
+++ b/poplarrelay/messages/encoding.py
@@ -1,4 +1,4 @@
-"""Convert rows to the forms that travel between nodes, and back."""
+"""Convert rows to the messages that nodes exchange, and back."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def encode_outcome(outcome: Outcome) -> OutcomeMessage:
-    """Return the travelling form of an outcome."""
+    """Return the message that encodes an outcome."""
     if isinstance(outcome, NotRun):
         return OutcomeMessage(
             tag="not_run",
@@ -70,8 +70,8 @@
     )
 
 
-def decode_outcome(stored: OutcomeMessage) -> Outcome:
-    """Return the outcome that travelled.
+def decode_outcome(message: OutcomeMessage) -> Outcome:
+    """Return the outcome that a message encodes.
 
     Examples
     --------
@@ -79,27 +79,27 @@
     >>> decode_outcome(encode_outcome(outcome)) == outcome
     True
     """
-    if stored.tag == "not_run":
-        return NotRun(NotRunReason(stored.reason), stored.retry_after_s)
-    if stored.tag == "unknown":
-        return Unknown(UnknownReason(stored.reason), stored.retry_after_s)
+    if message.tag == "not_run":
+        return NotRun(NotRunReason(message.reason), message.retry_after_s)
+    if message.tag == "unknown":
+        return Unknown(UnknownReason(message.reason), message.retry_after_s)
     service = None
-    if stored.status:
-        body = b64decode(stored.body)
-        service = ServiceAnswer(stored.status, stored.content_type, body)
+    if message.status:
+        body = b64decode(message.body)
+        service = ServiceAnswer(message.status, message.content_type, body)
     usage = Usage(
-        stored.prompt_tokens,
-        stored.completion_tokens,
-        stored.cached_tokens,
-        stored.recomputed_tokens,
+        message.prompt_tokens,
+        message.completion_tokens,
+        message.cached_tokens,
+        message.recomputed_tokens,
     )
-    return Answered(stored.tokens, service, usage)
+    return Answered(message.tokens, service, usage)
 
 
 def encode_request(
     request: Request, now: float, home_clock: float = 0.0
 ) -> RequestMessage:
-    """Return the travelling form of a request."""
+    """Return the message that encodes a request."""
     work = request.work
     outcome = request.outcome
     return RequestMessage(
@@ -129,45 +129,45 @@
     )
 
 
-def decode_work(stored: RequestMessage) -> Work:
-    """Return the work of a request that travelled."""
+def decode_work(message: RequestMessage) -> Work:
+    """Return the work of the request that a message encodes."""
     return Work(
-        kind=WorkKind(stored.kind),
-        name=stored.name,
-        method=stored.method,
-        path=stored.path,
-        content_type=stored.content_type,
-        body=b64decode(stored.body),
-        prompt=stored.prompt,
-        max_tokens=stored.max_tokens,
-        prompt_tokens=stored.prompt_tokens,
-        prefix=stored.prefix,
-        repeatable=stored.repeatable,
-        fingerprint=stored.fingerprint,
+        kind=WorkKind(message.kind),
+        name=message.name,
+        method=message.method,
+        path=message.path,
+        content_type=message.content_type,
+        body=b64decode(message.body),
+        prompt=message.prompt,
+        max_tokens=message.max_tokens,
+        prompt_tokens=message.prompt_tokens,
+        prefix=message.prefix,
+        repeatable=message.repeatable,
+        fingerprint=message.fingerprint,
     )
 
 
-def decode_request(stored: RequestMessage, now: float) -> Request:
-    """Return the row of a request that was handed over."""
+def decode_request(message: RequestMessage, now: float) -> Request:
+    """Return the row of the request that a message encodes."""
     request = Request(
-        id=RequestId(stored.id),
-        team=TeamId(stored.team),
-        work=decode_work(stored),
-        request_class=RequestClass(stored.request_class),
-        arrived=now - stored.age_s,
-        deadline=now + stored.remaining_s,
-        first_token_s=stored.first_token_s,
-        key=None if stored.key is None else IdempotencyKey(stored.key),
-        deferred=stored.deferred,
-        copies=stored.copies,
+        id=RequestId(message.id),
+        team=TeamId(message.team),
+        work=decode_work(message),
+        request_class=RequestClass(message.request_class),
+        arrived=now - message.age_s,
+        deadline=now + message.remaining_s,
+        first_token_s=message.first_token_s,
+        key=None if message.key is None else IdempotencyKey(message.key),
+        deferred=message.deferred,
+        copies=message.copies,
     )
-    if stored.outcome is not None:
-        request.outcome = decode_outcome(stored.outcome)
+    if message.outcome is not None:
+        request.outcome = decode_outcome(message.outcome)
     return request
 
 
 def encode_member(member: Member) -> MemberRow:
-    """Return the travelling form of a member."""
+    """Return the message that encodes a member."""
     return MemberRow(
         node=member.node,
         incarnation=member.incarnation,
@@ -186,7 +186,7 @@
 
 
 def decode_member(row: MemberRow, now: float) -> Member:
-    """Return the member that travelled."""
+    """Return the member that a message encodes."""
     return Member(
         node=NodeId(row.node),
         incarnation=Incarnation(row.incarnation),
