--- a/poplarrelay/client/__init__.py
+++ b/poplarrelay/client/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' library: discovery, keys, resumed streams."""
+"""Client library for callers: discovery, idempotency keys and resumed streams."""
 
 from poplarrelay.client.caller import (
     CallerClient,
--- a/poplarrelay/client/caller.py
+++ b/poplarrelay/client/caller.py
@@ -1,4 +1,4 @@
-"""A caller: makes requests, comes back when told, resumes cut streams."""
+"""Client for callers, which retries requests and resumes interrupted streams."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 __all__ = ["CallerClient", "CompletionResult", "DeferredResult", "ServiceResult"]
 
 CONNECT_TIMEOUT_S = 1.0
-#: Seconds without a byte after which a node counts as frozen.
+#: Seconds without data after which a node counts as frozen.
 STALL_S = 4.0
-#: Pause before another try if the system names none, in seconds.
+#: Pause before a retry if the node states none, in seconds.
 DEFAULT_PAUSE_S = 0.2
-#: Longest pause between two tries, in seconds.
+#: Longest pause between two attempts, in seconds.
 MAX_PAUSE_S = 2.0
 
 
 @dataclass(slots=True)
 class CompletionResult:
-    """A whole completion.
+    """A completion and figures about its streams.
 
     Attributes
     ----------
     tokens : list of str
-        The answer's tokens, each once and in order.
+        Tokens of the answer, each once and in order.
     first_token_s : float or None
-        Seconds until the first one.
+        Seconds from the start of the call to the first token.
     streams : int
-        Streams that it took; more than one if it was resumed.
+        Number of streams; more than 1 if the completion was resumed.
     """
 
     tokens: list[str] = field(default_factory=list)
@@ -54,13 +54,13 @@
 
     @property
     def text(self) -> str:
-        """Return the whole text."""
+        """Return the text of all tokens."""
         return "".join(self.tokens)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceResult:
-    """A plain service's answer."""
+    """The answer of a plain service."""
 
     status: int
     body: bytes
@@ -69,26 +69,26 @@
 
 @dataclass(frozen=True, slots=True)
 class DeferredResult:
-    """Where a deferred request stands."""
+    """The state of a deferred request."""
 
     id: str
     status: str
     document: dict[str, Any]
 
 
-class _Cut(ClientError):
-    """A stream ended without its end."""
+class _StreamInterrupted(ClientError):
+    """The stream lost a token or closed without a valid end event."""
 
 
-class _GoOn(ClientError):
-    """A stream goes on at another address."""
+class _StreamContinues(ClientError):
+    """The stream continues at another node."""
 
     def __init__(self, address: str) -> None:
         super().__init__("the node is leaving")
         self.address = address
 
 
-def _problem(response: urllib3.BaseHTTPResponse) -> dict[str, Any]:
+def _problem_document(response: urllib3.BaseHTTPResponse) -> dict[str, Any]:
     try:
         value = json.loads(response.data)
     except ValueError:
@@ -96,7 +96,7 @@
     return value if isinstance(value, dict) else {}
 
 
-def _failure(status: int, problem: dict[str, Any]) -> ClientError:
+def _error_from_problem(status: int, problem: dict[str, Any]) -> ClientError:
     title = str(problem.get("title", f"status {status}"))
     if 400 <= status < 500 and status != 429 and "retry_after_s" not in problem:
         return RequestRefused(title, problem)
@@ -106,29 +106,29 @@
 
 
 class CallerClient:
-    """Makes requests of one team.
+    """Sends the requests of one team.
 
     Parameters
     ----------
-    known : tuple of str
-        Callers' addresses of some nodes.
+    initial_addresses : tuple of str
+        Callers' addresses of some nodes, for discovery.
     token : str
         The team's bearer token.
     seed : int or None
-        Seed of the choice among addresses.
+        Seed of the random choice of addresses and the jitter of pauses.
 
     Notes
     -----
-    A request that may have run is sent again only under the same key, and for a
-    completion only for the tokens that are still missing.
+    A request that may have run is sent again only with the same key. A completion
+    is sent again only for the tokens that are still missing.
     """
 
     def __init__(
-        self, known: tuple[str, ...], token: str, seed: int | None = None
+        self, initial_addresses: tuple[str, ...], token: str, seed: int | None = None
     ) -> None:
         self._rng = random.Random(seed)
         self._discovery = Discovery(
-            known, token, JsonHttpClient(CONNECT_TIMEOUT_S), self._rng
+            initial_addresses, token, JsonHttpClient(CONNECT_TIMEOUT_S), self._rng
         )
         self._headers = {
             "Authorization": f"Bearer {token}",
@@ -139,7 +139,7 @@
     # -- keys --------------------------------------------------------------
 
     def new_ticket(self) -> tuple[str, str]:
-        """Return an address and a ticket that its node runs."""
+        """Return a node's address and a new ticket that this node runs."""
         chosen = self._discovery.addresses()[0]
         return chosen.address, f"{chosen.ticket}.{secrets.token_hex(8)}"
 
@@ -153,12 +153,12 @@
         timeout_s: float = 30.0,
         request_class: str = "standard",
     ) -> CompletionResult:
-        """Return a whole completion, resumed at other nodes if need be.
+        """Return a completion, resumed at other nodes if necessary.
 
         Raises
         ------
         ClientError
-            If there is no whole answer in time.
+            If there is no complete answer before the timeout.
         """
         result = CompletionResult()
         for _ in self.stream(
@@ -176,14 +176,14 @@
         request_class: str = "standard",
         result: CompletionResult | None = None,
     ) -> Iterator[str]:
-        """Return the tokens of a completion, each once and in order."""
+        """Yield the tokens of a completion, each once and in order."""
         result = result if result is not None else CompletionResult()
         started = time.monotonic()
         deadline = started + timeout_s
-        wanted: str | None = None
+        next_address: str | None = None
         while True:
-            address = wanted or self._discovery.addresses()[0].address
-            wanted = None
+            address = next_address or self._discovery.addresses()[0].address
+            next_address = None
             body = {
                 "model": model,
                 "prompt": prompt,
@@ -201,16 +201,16 @@
                     result.tokens.append(text)
                     yield text
                 return
-            except _GoOn as go_on:
-                wanted = go_on.address
+            except _StreamContinues as continuation:
+                next_address = continuation.address
             except RequestRefused:
                 raise
             except ClientError as failure:
                 self._discovery.avoid(address)
-                self._pause(failure, deadline)
+                self._pause_before_retry(failure, deadline)
 
-    def _pause(self, failure: ClientError, deadline: float) -> None:
-        """Wait as told, or give up if that is past the deadline."""
+    def _pause_before_retry(self, failure: ClientError, deadline: float) -> None:
+        """Wait as the failure states; raise it if the wait would reach the deadline."""
         pause = failure.retry_after_s
         pause = DEFAULT_PAUSE_S if pause is None else min(MAX_PAUSE_S, pause)
         pause *= 0.5 + self._rng.random()
@@ -228,11 +228,12 @@
         headers: dict[str, str],
         stall_s: float = STALL_S,
     ) -> urllib3.BaseHTTPResponse:
-        left = deadline - time.monotonic()
-        if left <= 0:
-            raise AnswerNotRun("the deadline has passed")
+        remaining_s = deadline - time.monotonic()
+        if remaining_s <= 0:
+            raise AnswerNotRun("the deadline of the request has passed")
         timeout = urllib3.Timeout(
-            connect=min(CONNECT_TIMEOUT_S, left), read=min(stall_s, left + 0.5)
+            connect=min(CONNECT_TIMEOUT_S, remaining_s),
+            read=min(stall_s, remaining_s + 0.5),
         )
         try:
             return self._pool.request(
@@ -241,7 +242,7 @@
                 body=body,
                 headers={
                     **self._headers,
-                    "Request-Timeout": f"{left:.3f}",
+                    "Request-Timeout": f"{remaining_s:.3f}",
                     **headers,
                 },
                 timeout=timeout,
@@ -249,9 +250,9 @@
                 redirect=False,
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
-            raise AnswerNotRun("the node cannot be reached") from error
+            raise AnswerNotRun("the connection to the node cannot be opened") from error
         except (HTTPError, OSError) as error:
-            raise AnswerUnknown("the node gave no answer") from error
+            raise AnswerUnknown("the node did not answer") from error
 
     def _read_stream(
         self,
@@ -262,8 +263,8 @@
         result: CompletionResult,
     ) -> Iterator[str]:
         headers = {"Request-Class": request_class}
-        # A completion that waits for an engine sends nothing, so only the
-        # deadline bounds the wait for its first token.
+        # A completion that waits for an engine sends no data. Therefore only the
+        # deadline limits the wait for its first token.
         response = self._send(
             "POST",
             address,
@@ -275,10 +276,12 @@
         )
         try:
             if response.status != 200:
-                raise _failure(response.status, _problem(response))
+                raise _error_from_problem(response.status, _problem_document(response))
             yield from self._read_events(response, body["resume_from"], result)
         except (HTTPError, OSError) as error:
-            raise _Cut("the stream was cut") from error
+            raise _StreamInterrupted(
+                "the connection failed during the stream"
+            ) from error
         finally:
             response.close()
 
@@ -288,9 +291,9 @@
         next_index: int,
         result: CompletionResult,
     ) -> Iterator[str]:
-        rest = b""
+        buffer = b""
         for chunk in response.stream(65_536):
-            *events, rest = (rest + chunk).split(b"\n\n")
+            *events, buffer = (buffer + chunk).split(b"\n\n")
             for event in events:
                 if event == b"data: [DONE]":
                     return
@@ -298,7 +301,7 @@
                 if text is not None:
                     next_index += 1
                     yield text
-        raise _Cut("the stream ended without its end")
+        raise _StreamInterrupted("the stream closed without an end event")
 
     @staticmethod
     def _read_event(
@@ -307,16 +310,16 @@
         name, _, data = event.rpartition(b"data: ")
         document = json.loads(data)
         if name.startswith(b"event: continue"):
-            raise _GoOn(document["address"])
+            raise _StreamContinues(document["address"])
         if name.startswith(b"event: error"):
-            raise _failure(document["status"], document)
+            raise _error_from_problem(document["status"], document)
         if "token_count" in document:
             if document["token_count"] != next_index:
-                raise _Cut("the end does not match the tokens")
+                raise _StreamInterrupted("the token count of the end event is wrong")
             result.usage = document["usage"]
             return None
         if document["token_index"] != next_index:
-            raise _Cut("a token is missing")
+            raise _StreamInterrupted("a token index is missing from the stream")
         return document["choices"][0]["text"]
 
     # -- plain services ----------------------------------------------------
@@ -332,34 +335,34 @@
         use_ticket: bool = True,
         request_class: str = "standard",
     ) -> ServiceResult:
-        """Call a plain service; a call that may not be repeated runs at most once.
+        """Call a plain service; a call that is not repeatable runs at most once.
 
         Parameters
         ----------
         key : str or None
-            Idempotency key; None for a ticket, or for none at all.
+            Idempotency key; None to use a ticket or no key.
         use_ticket : bool
-            Whether to use a ticket if there is no key.
+            Whether to use a ticket if `key` is None; not for GET and HEAD.
 
         Raises
         ------
         ClientError
-            If there is no answer in time.
+            If there is no answer before the timeout.
         """
         deadline = time.monotonic() + timeout_s
-        wanted: str | None = None
-        own_ticket = key is None and use_ticket and method not in ("GET", "HEAD")
+        next_address: str | None = None
+        needs_ticket = key is None and use_ticket and method not in ("GET", "HEAD")
         headers = {"Request-Class": request_class}
-        maybe_ran = False
+        may_have_run = False
         while True:
-            if own_ticket and not maybe_ran:
-                # Nothing has run under an earlier ticket, so a node that cannot be
-                # reached is left together with its ticket.
-                wanted, key = self.new_ticket()
+            if needs_ticket and not may_have_run:
+                # No call has run with an earlier ticket. Therefore the client can
+                # change to another node and its ticket.
+                next_address, key = self.new_ticket()
             if key is not None:
                 headers["Idempotency-Key"] = key
-            address = wanted or self._discovery.addresses()[0].address
-            wanted = None
+            address = next_address or self._discovery.addresses()[0].address
+            next_address = None
             try:
                 return self._call_once(
                     method,
@@ -373,23 +376,27 @@
                 raise
             except AnswerNotRun as failure:
                 self._discovery.avoid(address)
-                self._pause_or_tell(failure, deadline, maybe_ran)
+                self._pause_after_not_run(failure, deadline, may_have_run)
             except AnswerUnknown as failure:
-                maybe_ran = True
+                may_have_run = True
                 self._discovery.avoid(address)
                 if key is None and method not in ("GET", "HEAD"):
                     raise
-                self._pause(failure, deadline)
+                self._pause_before_retry(failure, deadline)
 
-    def _pause_or_tell(
-        self, failure: AnswerNotRun, deadline: float, maybe_ran: bool
+    def _pause_after_not_run(
+        self, failure: AnswerNotRun, deadline: float, may_have_run: bool
     ) -> None:
-        """Wait; at the end "not run" is told only if no earlier try may have run."""
+        """Wait before a retry, or raise an exception if the deadline is too close.
+
+        The exception is `AnswerNotRun` only if no earlier attempt may have run or
+        the node states "not_run".
+        """
         try:
-            self._pause(failure, deadline)
+            self._pause_before_retry(failure, deadline)
         except AnswerNotRun:
-            if maybe_ran and failure.problem.get("outcome") != "not_run":
-                raise AnswerUnknown("an earlier try may have run") from failure
+            if may_have_run and failure.problem.get("outcome") != "not_run":
+                raise AnswerUnknown("an earlier attempt may have run") from failure
             raise
 
     def _call_once(
@@ -401,19 +408,19 @@
         deadline: float,
         headers: dict[str, str],
     ) -> ServiceResult:
-        left = max(STALL_S, deadline - time.monotonic())
+        remaining_s = max(STALL_S, deadline - time.monotonic())
         response = self._send(
-            method, address, path, body, deadline, headers, stall_s=left
+            method, address, path, body, deadline, headers, stall_s=remaining_s
         )
         try:
             data = response.read()
         except (HTTPError, OSError) as error:
-            raise AnswerUnknown("the answer was cut") from error
+            raise AnswerUnknown("the connection failed during the answer") from error
         finally:
             response.close()
         if response.headers.get("Request-Outcome") != "answered":
             problem = json.loads(data) if data.startswith(b"{") else {}
-            raise _failure(response.status, problem)
+            raise _error_from_problem(response.status, problem)
         return ServiceResult(response.status, data, headers.get("Idempotency-Key"))
 
     # -- deferred requests -------------------------------------------------
@@ -425,17 +432,17 @@
         timeout_s: float = 60.0,
         key: str | None = None,
     ) -> DeferredResult:
-        """Leave a request with the system, to be fetched later by its id."""
+        """Submit a deferred request, whose outcome is fetched later by its id."""
         headers = {} if key is None else {"Idempotency-Key": key}
         headers["Request-Class"] = "patient"
         deadline = time.monotonic() + timeout_s
         content = json.dumps({"url": url, "body": body}).encode()
-        return self._deferred("POST", "/v1/requests", content, deadline, headers)
+        return self._call_deferred("POST", "/v1/requests", content, deadline, headers)
 
     def fetch(self, request: str, timeout_s: float = 5.0) -> DeferredResult:
-        """Tell where a deferred request stands."""
+        """Return the state of a deferred request."""
         deadline = time.monotonic() + timeout_s
-        return self._deferred("GET", f"/v1/requests/{request}", None, deadline, {})
+        return self._call_deferred("GET", f"/v1/requests/{request}", None, deadline, {})
 
     def wait_for(self, request: str, timeout_s: float) -> DeferredResult:
         """Wait until a deferred request has ended.
@@ -443,7 +450,7 @@
         Raises
         ------
         AnswerUnknown
-            If it has not ended in time.
+            If the request has not ended before the timeout.
         """
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
@@ -451,9 +458,9 @@
             if found.status != "running":
                 return found
             time.sleep(float(found.document.get("retry_after_s", DEFAULT_PAUSE_S)))
-        raise AnswerUnknown("the request has not ended yet")
+        raise AnswerUnknown("the deferred request has not ended before the timeout")
 
-    def _deferred(
+    def _call_deferred(
         self,
         method: str,
         path: str,
@@ -467,12 +474,12 @@
                 response = self._send(
                     method, address.address, path, body, deadline, headers
                 )
-                document = _problem(response)
+                document = _problem_document(response)
                 if response.status in (200, 202):
                     return DeferredResult(document["id"], document["status"], document)
-                raise _failure(response.status, document)
+                raise _error_from_problem(response.status, document)
             except RequestRefused:
                 raise
             except ClientError as failure:
                 self._discovery.avoid(address.address)
-                self._pause(failure, deadline)
+                self._pause_before_retry(failure, deadline)
--- a/poplarrelay/client/discovery.py
+++ b/poplarrelay/client/discovery.py
@@ -1,4 +1,4 @@
-"""Ask the system which of its addresses to use."""
+"""Discover the addresses of nodes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 __all__ = ["Discovery", "NodeAddress"]
 
-#: Seconds that a node may take to name addresses.
+#: Timeout of a request for addresses, in seconds.
 DISCOVERY_TIMEOUT_S = 1.0
-#: Seconds for which an address that failed is not used.
+#: Seconds for which an address is avoided after a failure.
 AVOIDED_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class NodeAddress:
-    """A node's address and the prefix of tickets that it runs."""
+    """Address of a node and the prefix of the tickets that the node runs."""
 
     address: str
     failure_domain: str
@@ -27,62 +27,62 @@
 
 
 class Discovery:
-    """Addresses of nodes, kept for as long as they may be.
+    """Addresses of nodes, cached for the time that the nodes state.
 
     Parameters
     ----------
-    known : tuple of str
-        Addresses that the caller knows to begin with.
+    initial_addresses : tuple of str
+        Addresses of some nodes, asked first and when no discovered node answers.
     token : str
         The team's bearer token.
     """
 
     def __init__(
         self,
-        known: tuple[str, ...],
+        initial_addresses: tuple[str, ...],
         token: str,
         http_client: JsonHttpClient,
         rng: random.Random,
     ) -> None:
-        self._known = known
+        self._initial_addresses = initial_addresses
         self._headers = {"Authorization": f"Bearer {token}"}
         self._http_client = http_client
         self._rng = rng
-        self._kept: tuple[NodeAddress, ...] = ()
-        self._until = 0.0
+        self._cached: tuple[NodeAddress, ...] = ()
+        self._expires_at = 0.0
         self._avoided: dict[str, float] = {}
 
     def avoid(self, address: str) -> None:
-        """Do not use an address for a moment."""
+        """Avoid an address for `AVOIDED_S` seconds."""
         self._avoided[address] = time.monotonic() + AVOIDED_S
 
     def addresses(self) -> list[NodeAddress]:
-        """Return addresses to use, best first.
+        """Return the addresses to use, in random order.
 
         Raises
         ------
         AnswerNotRun
-            If no known node answers.
+            If no node has returned addresses since the start.
         RequestRefused
-            If the token is not accepted.
+            If a node rejects the token.
         """
         now = time.monotonic()
-        if now >= self._until or not self._usable(now):
-            self._ask()
-        usable = self._usable(now) or list(self._kept)
+        if now >= self._expires_at or not self._usable(now):
+            self._refresh()
+        usable = self._usable(now) or list(self._cached)
         self._rng.shuffle(usable)
         return usable
 
     def _usable(self, now: float) -> list[NodeAddress]:
-        return [a for a in self._kept if self._avoided.get(a.address, 0.0) <= now]
+        return [a for a in self._cached if self._avoided.get(a.address, 0.0) <= now]
 
-    def _ask(self) -> None:
-        asked = [a.address for a in self._kept] + self._rng.sample(
-            self._known, len(self._known)
+    def _refresh(self) -> None:
+        candidates = [a.address for a in self._cached] + self._rng.sample(
+            self._initial_addresses, len(self._initial_addresses)
         )
         now = time.monotonic()
-        asked.sort(key=lambda address: self._avoided.get(address, 0.0) > now)
-        for address in dict.fromkeys(asked):
+        candidates.sort(key=lambda address: self._avoided.get(address, 0.0) > now)
+        for address in dict.fromkeys(candidates):
             try:
                 reply = self._http_client.call(
                     "GET",
@@ -95,16 +95,16 @@
                 self.avoid(address)
                 continue
             if reply.status == 401:
-                raise RequestRefused("the token is not accepted", reply.value)
+                raise RequestRefused("the node rejected the bearer token", reply.value)
             if reply.ok and reply.value.get("addresses"):
                 self._keep(reply.value)
                 return
-        if not self._kept:
-            raise AnswerNotRun("no known node names an address")
+        if not self._cached:
+            raise AnswerNotRun("no node returned an address")
 
     def _keep(self, value: dict) -> None:
-        self._kept = tuple(
+        self._cached = tuple(
             NodeAddress(item["address"], item["failure_domain"], item["ticket"])
             for item in value["addresses"]
         )
-        self._until = time.monotonic() + float(value["ttl_s"])
+        self._expires_at = time.monotonic() + float(value["ttl_s"])
--- a/poplarrelay/client/failures.py
+++ b/poplarrelay/client/failures.py
@@ -1,4 +1,4 @@
-"""Typed failures of the callers' library."""
+"""Exceptions of the client library."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class ClientError(PoplarrelayError):
-    """A call came to no answer.
+    """A call that ended without an answer.
 
     Parameters
     ----------
     problem : dict
-        The problem document, empty if there was none.
+        The problem document from the node; empty if there is none.
     """
 
     def __init__(self, message: str, problem: dict[str, Any] | None = None) -> None:
@@ -24,12 +24,12 @@
 
     @property
     def retry_after_s(self) -> float | None:
-        """Return when coming back can help."""
+        """Return the seconds after which a retry can help; None if not stated."""
         return self.problem.get("retry_after_s")
 
 
 class RequestRefused(ClientError):
-    """The request is not acceptable; it was not run."""
+    """The request is not acceptable and was not run."""
 
 
 class AnswerNotRun(ClientError):
@@ -37,4 +37,4 @@
 
 
 class AnswerUnknown(ClientError):
-    """The request may have run; ask again under the same key."""
+    """The request may have run; retry it only with the same idempotency key."""
