--- a/poplarrelay/node/arrivals.py
+++ b/poplarrelay/node/arrivals.py
@@ -1,4 +1,4 @@
-"""Tell when a request really came, not when it was first read."""
+"""Correct the arrival times of requests that were read after a freeze."""
 
 from __future__ import annotations
 
@@ -7,53 +7,54 @@
 
 __all__ = ["ArrivalClock"]
 
-#: A pause of the tick thread from which on the process counts as frozen.
+#: Seconds without a tick after which the process counts as frozen.
 FREEZE_S = 0.75
-#: Seconds after a freeze within which what is read may have come during it.
+#: Seconds after a freeze in which data that is read can have arrival_time during it.
 BACKLOG_S = 1.0
 
 
 class ArrivalClock:
-    """Corrects times of arrival for freezes of the process.
+    """Corrects arrival times for freezes of the process.
 
     Notes
     -----
-    A frozen process finds requests in its socket buffers when it is thawed. Read as
-    if they had just come, they would get a new deadline, and a booking whose caller
-    was told "not run" by another node meanwhile would run after all. So whatever is
-    read right after a freeze counts as having come when the freeze began.
+    Requests that arrive while the process is frozen wait in its socket buffers. If
+    the node took the time of the read as their arrival time, they would get a new
+    deadline. A non-repeatable call could then run although another node has told
+    the caller "not run" in the meantime. Therefore a request that is read right
+    after a freeze gets the start of the freeze as its arrival time.
 
     Examples
     --------
     >>> clock = ArrivalClock(now=10.0)
-    >>> clock.beat(10.05)
-    >>> clock.beat(15.0)
-    >>> clock.arrived(15.1)
+    >>> clock.record_tick(10.05)
+    >>> clock.record_tick(15.0)
+    >>> clock.arrival_time(15.1)
     10.05
-    >>> clock.beat(15.7), clock.beat(16.4), clock.beat(16.95)
+    >>> clock.record_tick(15.7), clock.record_tick(16.4), clock.record_tick(16.95)
     (None, None, None)
-    >>> clock.arrived(17.0)
+    >>> clock.arrival_time(17.0)
     17.0
     """
 
     def __init__(self, now: float | None = None) -> None:
         self._lock = threading.Lock()
-        self._last_beat = time.monotonic() if now is None else now
+        self._last_tick = time.monotonic() if now is None else now
         self._frozen_from = float("-inf")
         self._frozen_to = float("-inf")
 
-    def beat(self, now: float) -> None:
-        """Note that the tick thread runs."""
+    def record_tick(self, now: float) -> None:
+        """Record the time of a tick and detect a freeze before it."""
         with self._lock:
-            if now - self._last_beat > FREEZE_S:
-                self._frozen_from, self._frozen_to = self._last_beat, now
-            self._last_beat = now
+            if now - self._last_tick > FREEZE_S:
+                self._frozen_from, self._frozen_to = self._last_tick, now
+            self._last_tick = now
 
-    def arrived(self, received: float) -> float:
-        """Return when something that was read at `received` came at the earliest."""
+    def arrival_time(self, read_at: float) -> float:
+        """Return the earliest time at which data read at `read_at` can have arrived."""
         with self._lock:
-            if received - self._last_beat > FREEZE_S:
-                return self._last_beat
-            if self._frozen_from <= received <= self._frozen_to + BACKLOG_S:
-                return min(received, self._frozen_from)
-            return received
+            if read_at - self._last_tick > FREEZE_S:
+                return self._last_tick
+            if self._frozen_from <= read_at <= self._frozen_to + BACKLOG_S:
+                return min(read_at, self._frozen_from)
+            return read_at
--- a/poplarrelay/node/caller_handlers.py
+++ b/poplarrelay/node/caller_handlers.py
@@ -1,4 +1,7 @@
-"""The callers' listener: discovery, completions, services, deferred requests."""
+"""Handlers of the callers' listener.
+
+They serve discovery, completions, calls to plain services and deferred requests.
+"""
 
 from __future__ import annotations
 
@@ -62,22 +65,22 @@
 KEY_HEADER = "Idempotency-Key"
 OUTCOME_HEADER = "Request-Outcome"
 MAX_TIMEOUT_S = 86_400.0
-#: Seconds that each node may take to tell of a deferred request.
+#: Timeout of a query to one node for a deferred request, in seconds.
 LOOKUP_TIMEOUT_S = 0.7
-#: Field of a peer's answer that says that it knows the request from a copy only.
+#: Field of a peer's reply that is true if the peer has only a copy of the request.
 COPY_FIELD = "copy"
 _BEARER = "Bearer "
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What the headers of a request say.
+class RequestHeaders:
+    """Values of the headers of a request.
 
     Attributes
     ----------
     timeout_s : float or None
-        Seconds that the caller still waits. A duration travels, not a time of
-        day, because the clocks of two hosts may differ.
+        Seconds that the caller still waits. The header has a duration and not a
+        time of day, because the clocks of two hosts can differ.
     """
 
     token_sha256: str
@@ -86,13 +89,13 @@
     key: IdempotencyKey | None
 
 
-def read_token() -> str:
-    """Return the digest of the bearer token.
+def read_token_digest() -> str:
+    """Return the SHA-256 digest of the bearer token.
 
     Raises
     ------
     AuthenticationFailed
-        If there is none.
+        If there is no bearer token.
     """
     value = header("Authorization") or ""
     if not value.startswith(_BEARER):
@@ -125,25 +128,27 @@
         raise MalformedHeader(f"{CLASS_HEADER} is one of {names}") from None
 
 
-def read_terms(default: RequestClass = RequestClass.STANDARD) -> Terms:
-    """Return what the headers say.
+def read_request_headers(
+    default: RequestClass = RequestClass.STANDARD,
+) -> RequestHeaders:
+    """Return the values of the headers of the current request.
 
     Raises
     ------
     AuthenticationFailed, MalformedHeader
-        If a header is absent or not valid.
+        If the token is absent or a header is not valid.
     """
     key = header(KEY_HEADER)
-    return Terms(
-        read_token(),
+    return RequestHeaders(
+        read_token_digest(),
         _read_class(default),
         _read_timeout(),
         None if key is None else IdempotencyKey(key.strip().strip('"')),
     )
 
 
-def _first(events: SessionEvents) -> CallerEvent:
-    """Return the first event, or answer with the error that it is."""
+def _first_event(events: SessionEvents) -> CallerEvent:
+    """Return the first event; raise an HTTP error if it is a failure."""
     event = next(events)
     if isinstance(event, Rejected):
         events.close()
@@ -154,10 +159,10 @@
     return event
 
 
-def _outcome(events: SessionEvents) -> Outcome:
-    """Return the final outcome, with all tokens read."""
+def _final_answer(events: SessionEvents) -> Outcome:
+    """Read all events and return the answer; raise an HTTP error for a failure."""
     try:
-        event = _first(events)
+        event = _first_event(events)
         while not isinstance(event, Ended):
             event = next(events)
     finally:
@@ -168,7 +173,7 @@
 
 
 class CompletionHandler:
-    """``POST /v1/completions`` and ``POST /v1/chat/completions``."""
+    """Handler of ``POST /v1/completions`` or ``POST /v1/chat/completions``."""
 
     def __init__(self, gateway: Gateway, form: CompletionForm) -> None:
         self._gateway = gateway
@@ -176,26 +181,26 @@
 
     @cherrypy.expose
     def index(self, **query: str) -> bytes | Iterator[bytes]:
-        """Answer a completion, streamed or whole."""
+        """Answer a completion request, as a stream or in one piece."""
         require_method("POST")
-        received = self._gateway.received()
+        received = self._gateway.arrival_time()
         try:
-            terms = read_terms()
-            work, stream = self._read()
+            headers = read_request_headers()
+            work, stream = self._read_work()
         except CallerError as error:
             raise reject(error) from None
         writer = CompletionWriter(
             self._form, self._gateway.new_request_id(), work.name, work.resume_from
         )
         request = writer.request
-        events = self._gateway.serve(_arrival(request, terms, work, received))
+        events = self._gateway.serve(_request_arrival(request, headers, work, received))
         if stream:
             return self._stream(events, writer)
-        answered = _outcome(events)
+        answered = _final_answer(events)
         assert isinstance(answered, Answered)
         return answer_json(writer.document(answered))
 
-    def _read(self) -> tuple[Work, bool]:
+    def _read_work(self) -> tuple[Work, bool]:
         body = read_body(self._gateway.settings.limits.max_body_bytes)
         if self._form is CompletionForm.CHAT:
             chat = parse_body(body, ChatBody)
@@ -208,59 +213,59 @@
 
     @staticmethod
     def _stream(events: SessionEvents, writer: CompletionWriter) -> Iterator[bytes]:
-        first = _first(events)
+        first = _first_event(events)
         response = cherrypy.response
         response.headers["Content-Type"] = "text/event-stream"
         response.headers["Cache-Control"] = "no-store"
         response.stream = True
-        return _closing(writer.stream(first, events), events)
+        return _close_after(writer.stream(first, events), events)
 
 
-def _closing(body: Iterator[bytes], events: SessionEvents) -> Iterator[bytes]:
-    """Pass on a body and close its session, also when the caller has gone."""
+def _close_after(body: Iterator[bytes], events: SessionEvents) -> Iterator[bytes]:
+    """Iterate over a body and close its session, also if the caller disconnects."""
     try:
         yield from body
     finally:
         events.close()
 
 
-def _arrival(
+def _request_arrival(
     request: RequestId,
-    terms: Terms,
+    headers: RequestHeaders,
     work: Work,
     received: float,
     deferred: bool = False,
 ) -> RequestArrived:
     return RequestArrived(
         id=request,
-        token_sha256=terms.token_sha256,
+        token_sha256=headers.token_sha256,
         work=work,
-        request_class=terms.request_class,
-        timeout_s=terms.timeout_s,
+        request_class=headers.request_class,
+        timeout_s=headers.timeout_s,
         received=received,
-        key=terms.key,
+        key=headers.key,
         deferred=deferred,
     )
 
 
 def _path_and_query(path: tuple[str, ...]) -> str:
-    joined = "/" + "/".join(quote(part, safe="~:@!$&'()*+,;=") for part in path)
+    full_path = "/" + "/".join(quote(part, safe="~:@!$&'()*+,;=") for part in path)
     query = cherrypy.request.query_string
-    return f"{joined}?{query}" if query else joined
+    return f"{full_path}?{query}" if query else full_path
 
 
 class ServiceHandler:
-    """``/services/{service}/{path}``, any method."""
+    """Handler of ``/services/{service}/{path}`` for all methods."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
 
     @cherrypy.expose
     def default(self, service: str = "", *path: str, **query: str) -> bytes:
-        """Answer with what the service answers."""
-        received = self._gateway.received()
+        """Forward a call to a plain service and return its answer."""
+        received = self._gateway.arrival_time()
         try:
-            terms = read_terms()
+            headers = read_request_headers()
             work = service_work(
                 service,
                 cherrypy.request.method,
@@ -271,8 +276,8 @@
         except CallerError as error:
             raise reject(error) from None
         request = self._gateway.new_request_id()
-        events = self._gateway.serve(_arrival(request, terms, work, received))
-        answered = _outcome(events)
+        events = self._gateway.serve(_request_arrival(request, headers, work, received))
+        answered = _final_answer(events)
         assert isinstance(answered, Answered)
         return _service_answer(answered)
 
@@ -287,7 +292,7 @@
 
 
 class DeferredHandler:
-    """``POST /v1/requests`` and ``GET /v1/requests/{id}``."""
+    """Handler of ``POST /v1/requests`` and ``GET /v1/requests/{id}``."""
 
     def __init__(self, gateway: Gateway, http_client: JsonHttpClient) -> None:
         self._gateway = gateway
@@ -295,7 +300,7 @@
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
-        """Accept a request for later, or tell what became of one."""
+        """Accept a deferred request (POST) or return the state of one (GET)."""
         if path:
             require_method("GET")
             return self._look_up(RequestId(path[0]))
@@ -303,18 +308,18 @@
         return self._accept()
 
     def _accept(self) -> bytes:
-        received = self._gateway.received()
+        received = self._gateway.arrival_time()
         try:
-            terms = read_terms(RequestClass.PATIENT)
+            headers = read_request_headers(RequestClass.PATIENT)
             limit = self._gateway.settings.limits.max_body_bytes
             body = parse_body(read_body(limit), DeferredBody)
             work = _deferred_work(body)
         except CallerError as error:
             raise reject(error) from None
         request = self._gateway.new_request_id()
-        arrival = _arrival(request, terms, work, received, deferred=True)
+        arrival = _request_arrival(request, headers, work, received, deferred=True)
         events = self._gateway.serve(arrival)
-        event = _first(events)
+        event = _first_event(events)
         events.close()
         assert isinstance(event, Accepted)
         location = f"/v1/requests/{request}"
@@ -323,34 +328,34 @@
 
     def _look_up(self, request: RequestId) -> bytes:
         try:
-            digest = read_token()
+            digest = read_token_digest()
         except CallerError as error:
             raise reject(error) from None
-        found = self._gateway.ask(lambda call: LookupAsked(call, digest, request))
+        found = self._gateway.call(lambda call: LookupAsked(call, digest, request))
         if isinstance(found, CallerError):
             raise reject(found)
         if isinstance(found, LookupElsewhere):
-            return self._look_elsewhere(request, found)
+            return self._search_peers(request, found)
         assert isinstance(found, LookupResult)
         return answer_json(lookup_document(request, found))
 
-    def _look_elsewhere(self, request: RequestId, found: LookupElsewhere) -> bytes:
+    def _search_peers(self, request: RequestId, found: LookupElsewhere) -> bytes:
         path = f"/peer/requests/{quote(request)}?team={quote(found.team)}"
-        copies, silent = False, set()
+        copy_found, unanswered = False, set()
         for peer in found.peers:
             try:
                 reply = self._http_client.call(
                     "GET", peer, path, timeout_s=LOOKUP_TIMEOUT_S
                 )
             except CallFailed:
-                silent.add(peer)
+                unanswered.add(peer)
                 continue
             if reply.ok and not reply.value.get(COPY_FIELD, False):
                 return answer_json(reply.value)
-            copies = copies or reply.ok
+            copy_found = copy_found or reply.ok
             if not reply.ok and reply.status != HTTPStatus.NOT_FOUND:
-                silent.add(peer)
-        result = combine_search(found, copies, silent)
+                unanswered.add(peer)
+        result = combine_search(found, copy_found, unanswered)
         if result is SearchResult.RUNNING:
             return answer_json(lookup_document(request, LookupResult(None)))
         if result is SearchResult.ABSENT:
@@ -367,7 +372,7 @@
 
 
 def lookup_document(request: RequestId, found: LookupResult) -> dict[str, object]:
-    """Return what a caller is told of a deferred request."""
+    """Return the document that tells a caller the state of a deferred request."""
     outcome = found.outcome
     if outcome is None:
         return {"id": request, "status": "running", "retry_after_s": 0.5}
@@ -388,51 +393,51 @@
 
 
 def _deferred_work(body: DeferredBody) -> Work:
-    inner = orjson.dumps(body.body)
+    body_json = orjson.dumps(body.body)
     if body.url == "/v1/completions":
-        text = parse_body(inner, CompletionBody)
+        text = parse_body(body_json, CompletionBody)
         return completion_work(text.model, text.prompt, text.max_tokens, 0)
     if body.url == "/v1/chat/completions":
-        chat = parse_body(inner, ChatBody)
+        chat = parse_body(body_json, ChatBody)
         return completion_work(chat.model, chat.prompt, chat.max_tokens, 0)
     _, _, service, *path = body.url.split("/")
     if not service:
         raise MalformedBody("the url names no service")
-    content = b"" if body.method == "GET" else inner
-    joined = "/" + "/".join(path)
-    return service_work(service, body.method, joined, "application/json", content)
+    content = b"" if body.method == "GET" else body_json
+    full_path = "/" + "/".join(path)
+    return service_work(service, body.method, full_path, "application/json", content)
 
 
 class AddressesHandler:
-    """``GET /v1/addresses``."""
+    """Handler of ``GET /v1/addresses``."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
 
     @cherrypy.expose
     def index(self, **query: str) -> bytes:
-        """Tell which nodes to use."""
+        """Return the addresses of the nodes that the caller can use."""
         require_method("GET")
         try:
-            digest = read_token()
+            digest = read_token_digest()
         except CallerError as error:
             raise reject(error) from None
-        answer = self._gateway.ask(lambda call: AddressesAsked(call, digest))
+        answer = self._gateway.call(lambda call: AddressesAsked(call, digest))
         if isinstance(answer, CallerError):
             raise reject(answer)
         return answer_json(answer)
 
 
 class _Version:
-    """``/v1``."""
+    """Node ``/v1`` of the URL tree."""
 
 
 class _Chat:
-    """``/v1/chat``."""
+    """Node ``/v1/chat`` of the URL tree."""
 
 
 class CallersRoot:
-    """Root of the callers' listener."""
+    """Root of the URL tree of the callers' listener."""
 
     def __init__(self, gateway: Gateway, http_client: JsonHttpClient) -> None:
         self.services = ServiceHandler(gateway)
--- a/poplarrelay/node/completion_writer.py
+++ b/poplarrelay/node/completion_writer.py
@@ -1,4 +1,4 @@
-"""Write session events as callers expect them: JSON or server-sent events."""
+"""Encode session events for callers as JSON or as server-sent events."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class CompletionForm(Enum):
-    """The two OpenAI forms of a completion."""
+    """Formats of a completion in the OpenAI API."""
 
     TEXT = "text_completion"
     CHAT = "chat.completion"
 
 
 def usage_document(usage: Usage) -> dict[str, int]:
-    """Return the usage object."""
+    """Return the token counts as the `usage` object of the OpenAI API."""
     return {
         "prompt_tokens": usage.prompt_tokens,
         "completion_tokens": usage.completion_tokens,
@@ -38,7 +38,7 @@
 
 
 def outcome_document(outcome: NotRun | Unknown | Continued) -> Problem:
-    """Return the problem document of an outcome that is no answer."""
+    """Return the problem document for an outcome other than an answer."""
     if isinstance(outcome, Continued):
         return Problem(
             503,
@@ -52,18 +52,18 @@
 
 
 class CompletionWriter:
-    """Writes the answer to one completion.
+    """Encodes the answer to one completion request.
 
     Parameters
     ----------
     form : CompletionForm
-        Text or chat.
+        Format of the answer: text or chat.
     request : RequestId
-        Id that the answer bears.
+        Id in the answer.
     model : str
-        Model that the answer names.
+        Name of the model in the answer.
     first_index : int
-        Index of the first token that the caller wants.
+        Index of the first token that the caller requested.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
         self._model = model
         self._first_index = first_index
         self._created = int(time.time())
-        self._head, self._middle = self._frame()
+        self._before_text, self._after_text = self._token_event_parts()
 
     @property
     def request(self) -> RequestId:
-        """Return the id that the answer bears."""
+        """Return the id in the answer."""
         return self._request
 
     def _base(self, object_name: str) -> dict[str, Any]:
@@ -89,27 +89,27 @@
             "model": self._model,
         }
 
-    def _frame(self) -> tuple[bytes, bytes]:
-        """Return what stands before and after a token's text in its event."""
+    def _token_event_parts(self) -> tuple[bytes, bytes]:
+        """Return the parts of a token event before and after the token's text."""
         chat = self._form is CompletionForm.CHAT
         name = "chat.completion.chunk" if chat else self._form.value
         base = orjson.dumps(self._base(name))[:-1]
-        head = b"data: " + base + b',"choices":[{"index":0,"finish_reason":null,'
+        before_text = b"data: " + base + b',"choices":[{"index":0,"finish_reason":null,'
         if chat:
-            return head + b'"delta":{"content":', b'}}],"token_index":'
-        return head + b'"text":', b'}],"token_index":'
+            return before_text + b'"delta":{"content":', b'}}],"token_index":'
+        return before_text + b'"text":', b'}],"token_index":'
 
-    def tokens(self, first: int, texts: Sequence[str]) -> bytes:
-        """Return the events of tokens that follow each other, to write at once."""
-        head, middle, dumps = self._head, self._middle, orjson.dumps
+    def token_events(self, first: int, texts: Sequence[str]) -> bytes:
+        """Return the events of consecutive tokens, joined for a single write."""
+        before, after, dumps = self._before_text, self._after_text, orjson.dumps
         skip = max(0, self._first_index - first)
         return b"".join(
-            b"%b%b%b%d}\n\n" % (head, dumps(text), middle, index)
+            b"%b%b%b%d}\n\n" % (before, dumps(text), after, index)
             for index, text in enumerate(texts[skip:], first + skip)
         )
 
-    def end(self, usage: Usage) -> bytes:
-        """Return the explicit end of a stream, with its token count."""
+    def end_event(self, usage: Usage) -> bytes:
+        """Return the end events of a complete stream, with its token count."""
         chat = self._form is CompletionForm.CHAT
         document = self._base("chat.completion.chunk" if chat else self._form.value)
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
@@ -120,19 +120,19 @@
         return b"data: " + orjson.dumps(document) + b"\n\n" + DONE
 
     @staticmethod
-    def failure(outcome: NotRun | Unknown) -> bytes:
-        """Return the event by which a stream ends without its whole answer."""
+    def error_event(outcome: NotRun | Unknown) -> bytes:
+        """Return the event that ends a stream whose answer is incomplete."""
         problem = problem_from_outcome(outcome)
         return b"event: error\ndata: " + problem.to_json() + b"\n\n"
 
     @staticmethod
-    def go_on(address: str, index: int) -> bytes:
-        """Return the event that tells where the stream goes on."""
+    def continue_event(address: str, index: int) -> bytes:
+        """Return the event that names the node at which the stream continues."""
         document = {"address": address, "resume_from": index}
         return b"event: continue\ndata: " + orjson.dumps(document) + b"\n\n"
 
     def document(self, answered: Answered) -> dict[str, Any]:
-        """Return a whole answer that is not streamed."""
+        """Return the complete answer to a request without streaming."""
         value = self._base(self._form.value)
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if self._form is CompletionForm.CHAT:
@@ -151,38 +151,39 @@
         Parameters
         ----------
         first : CallerEvent
-            The event that has been taken already, to choose the status.
+            First event, which the caller of this method has read to choose the HTTP
+            status.
         rest : iterator of CallerEvent
-            The others.
+            Remaining events.
         """
         sent = False
         event: CallerEvent | None = first
         while event is not None:
             if isinstance(event, Tokens):
-                written = self.tokens(event.first, event.texts)
-                sent = sent or bool(written)
-                if written:
-                    yield written
+                encoded = self.token_events(event.first, event.texts)
+                sent = sent or bool(encoded)
+                if encoded:
+                    yield encoded
             elif isinstance(event, Ended):
-                yield from self._last(event, sent)
+                yield from self._end_events(event, sent)
                 return
             event = next(rest, None)
 
-    def _last(self, ended: Ended, sent: bool) -> Iterator[bytes]:
+    def _end_events(self, ended: Ended, sent: bool) -> Iterator[bytes]:
         outcome = ended.outcome
         if isinstance(outcome, Answered):
             if not sent:
-                yield from self._whole(outcome)
-            yield self.end(outcome.usage)
+                yield from self._replayed_token_events(outcome)
+            yield self.end_event(outcome.usage)
         elif isinstance(outcome, Continued):
-            index = max(ended.tokens, self._first_index)
-            yield self.go_on(outcome.address, index)
+            index = max(ended.next_index, self._first_index)
+            yield self.continue_event(outcome.address, index)
         else:
-            yield self.failure(outcome)
+            yield self.error_event(outcome)
 
-    def _whole(self, outcome: Answered) -> Iterator[bytes]:
-        """Return the tokens of an answer that ran earlier under the same key."""
+    def _replayed_token_events(self, outcome: Answered) -> Iterator[bytes]:
+        """Return the token events of an answer that ran earlier under the same key."""
         start = outcome.usage.completion_tokens - len(outcome.tokens)
-        written = self.tokens(start, outcome.tokens)
-        if written:
-            yield written
+        encoded = self.token_events(start, outcome.tokens)
+        if encoded:
+            yield encoded
--- a/poplarrelay/node/effect_executor.py
+++ b/poplarrelay/node/effect_executor.py
@@ -1,4 +1,4 @@
-"""Carry out the tick thread's effects without ever making it wait."""
+"""Execute the effects of the tick thread without blocking it."""
 
 from __future__ import annotations
 
@@ -75,9 +75,9 @@
 
 #: Threads for probes and other short calls to peers.
 PEER_THREADS = 6
-#: Threads for polls of endpoints, which may hang until their timeout.
+#: Threads for calls to endpoints, hosts and the cloud, which can block until timeout.
 POLL_THREADS = 6
-#: Threads for requests that are sent on to their home and wait there.
+#: Threads for forwarded requests, which wait for their owner's outcome.
 FORWARD_THREADS = 24
 
 _LOG = logging.getLogger("poplarrelay.outbox")
@@ -85,19 +85,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _DeferredRun:
-    """The session of a deferred request, over all its attempts."""
+    """The session of a deferred request and its mailbox, for all attempts."""
 
     mailbox: Mailbox
     session: Session
 
 
 class EffectExecutor:
-    """Hands each effect to the thread, or pool of threads, that carries it out.
+    """Executes each effect on the thread or thread pool for its type.
 
     Notes
     -----
-    The pools are apart, so that endpoints that hang cannot hold back probes, and
-    waiting forwards cannot hold back either.
+    The pools are separate. Endpoints that hang cannot delay probes, and forwarded
+    requests that wait cannot delay probes or polls.
     """
 
     def __init__(
@@ -125,21 +125,21 @@
         self._stop = stop
         self._order_timeout_s = order_timeout_s
         self._runtime: Runtime | None = None
-        self._runs: dict[RequestId, _DeferredRun] = {}
+        self._deferred_runs: dict[RequestId, _DeferredRun] = {}
         self._peer_pool = ThreadPoolExecutor(PEER_THREADS, "peer")
         self._poll_pool = ThreadPoolExecutor(POLL_THREADS, "poll")
         self._forward_pool = ThreadPoolExecutor(FORWARD_THREADS, "forward")
         self._deferred_pool = ThreadPoolExecutor(deferred_threads, "deferred")
 
     def set_runtime(self, runtime: Runtime) -> None:
-        """Set what deferred sessions run with."""
+        """Set the runtime for the sessions of deferred requests."""
         self._runtime = runtime
 
     def perform(self, effect: Effect) -> None:
-        """Carry out an effect, or hand it on; never blocks."""
+        """Execute an effect, or submit it to a thread pool; never blocks."""
         match effect:
             case RunAttempt(deferred=True):
-                self._deferred_pool.submit(self._guard, self._run_deferred, effect)
+                self._deferred_pool.submit(self._run, self._run_deferred, effect)
             case RunAttempt():
                 self._deliver(effect.attempt.request, effect)
             case MoveAttempt() | EndRequest() | RejectRequest() | AcceptDeferred():
@@ -157,51 +157,51 @@
             case StopProcess():
                 self._stop(effect.clean)
             case _:
-                self._hand_on(effect)
+                self._submit_to_pool(effect)
 
-    def _hand_on(self, effect: Effect) -> None:
+    def _submit_to_pool(self, effect: Effect) -> None:
         match effect:
             case PollLoad():
-                self._poll_pool.submit(self._guard, self._poll, effect)
+                self._poll_pool.submit(self._run, self._poll_load, effect)
             case SendModelOrder():
-                self._poll_pool.submit(self._guard, self._send_model_order, effect)
+                self._poll_pool.submit(self._run, self._send_model_order, effect)
             case ListStartedHosts():
-                self._poll_pool.submit(self._guard, self._list_started_hosts, effect)
+                self._poll_pool.submit(self._run, self._list_started_hosts, effect)
             case StartHost():
-                self._poll_pool.submit(self._guard, self._start_host, effect)
+                self._poll_pool.submit(self._run, self._start_host, effect)
             case StopHost():
-                self._poll_pool.submit(self._guard, self._stop_host, effect)
+                self._poll_pool.submit(self._run, self._stop_host, effect)
             case ListHosts():
-                self._poll_pool.submit(self._guard, self._list_hosts, effect)
+                self._poll_pool.submit(self._run, self._list_hosts, effect)
             case ForwardRequest():
-                self._forward_pool.submit(self._guard, self._forward, effect)
+                self._forward_pool.submit(self._run, self._forward_request, effect)
             case ProbePeer():
-                self._peer_pool.submit(self._guard, self._probe, effect)
+                self._peer_pool.submit(self._run, self._probe, effect)
             case SendGossip():
                 for peer in effect.peers:
                     self._peer_pool.submit(
-                        self._guard, self._send_news, (peer, effect.message)
+                        self._run, self._send_gossip, (peer, effect.message)
                     )
             case QueryKey():
-                self._peer_pool.submit(self._guard, self._query_key, effect)
+                self._peer_pool.submit(self._run, self._query_key, effect)
             case QueryAllPeers():
-                self._forward_pool.submit(self._guard, self._query_all_peers, effect)
+                self._forward_pool.submit(self._run, self._query_all_peers, effect)
             case FetchConfiguration():
-                self._peer_pool.submit(self._guard, self._fetch, effect)
+                self._peer_pool.submit(self._run, self._fetch_configuration, effect)
             case StoreCopy():
-                self._forward_pool.submit(self._guard, self._store_copy, effect)
+                self._forward_pool.submit(self._run, self._store_copy, effect)
             case QueryCopies():
-                self._forward_pool.submit(self._guard, self._query_copies, effect)
+                self._forward_pool.submit(self._run, self._query_copies, effect)
             case SendHandover():
-                self._peer_pool.submit(self._guard, self._send_handover, effect)
+                self._peer_pool.submit(self._run, self._send_handover, effect)
 
     @staticmethod
-    def _guard(work: Callable, argument: object) -> None:
+    def _run(function: Callable, argument: object) -> None:
         try:
-            work(argument)
+            function(argument)
         except Exception:
-            # A pool keeps a failure to itself; without this line a defect here
-            # would look like a silent peer.
+            # A thread pool does not log exceptions. Without this line, a defect in
+            # an effect would look like a peer that does not reply.
             _LOG.exception("effect failed")
 
     def _deliver(
@@ -209,59 +209,60 @@
         request: RequestId,
         effect: RunAttempt | MoveAttempt | EndRequest | RejectRequest | AcceptDeferred,
     ) -> None:
-        """Give an instruction to the thread that waits, and to a deferred run.
+        """Put an instruction into the mailboxes of the caller and of a deferred run.
 
-        A deferred request may be run before its caller has been told that it is
-        accepted, so the two have mailboxes of their own.
+        A deferred request can run before its caller is told that it is accepted.
+        Therefore the thread that waits for the caller and the thread that runs the
+        request have separate mailboxes.
         """
         mailbox = self._mailboxes.find(request)
-        to_run_alone = isinstance(effect, EndRequest) and effect.deferred
-        if mailbox is not None and not to_run_alone:
+        only_for_run = isinstance(effect, EndRequest) and effect.deferred
+        if mailbox is not None and not only_for_run:
             mailbox.put(effect)
-        run = self._runs.get(request)
+        run = self._deferred_runs.get(request)
         if run is not None:
             run.mailbox.put(effect)
         if isinstance(effect, EndRequest):
-            self._runs.pop(request, None)
+            self._deferred_runs.pop(request, None)
 
     def _run_deferred(self, effect: RunAttempt) -> None:
         """Run an attempt of a deferred request.
 
-        The session stays until the request has ended: it holds the tokens of
-        earlier attempts, which belong to the answer.
+        The session is kept until the request ends, because it holds the tokens of
+        earlier attempts, which are part of the answer.
         """
         assert self._runtime is not None
         request = effect.attempt.request
-        run = self._runs.get(request)
+        run = self._deferred_runs.get(request)
         if run is None:
             mailbox = Mailbox()
             run = _DeferredRun(mailbox, Session(self._runtime, request, mailbox))
-            self._runs[request] = run
+            self._deferred_runs[request] = run
         for _ in run.session.run_attempt(effect):
             pass
 
-    def _poll(self, effect: PollLoad) -> None:
+    def _poll_load(self, effect: PollLoad) -> None:
         try:
-            answer = read_load(effect.endpoint, effect.address, self._http_client)
+            reply = read_load(effect.endpoint, effect.address, self._http_client)
         except EndpointBroken:
             self._submit(LoadFailed(effect.endpoint))
             return
-        if answer.leaving_s is not None:
+        if reply.leaving_s is not None:
             source = NoticeSource.ENDPOINT
-            self._submit(NoticeReceived(answer.leaving_s, source, effect.endpoint))
-        self._submit(LoadReported(effect.endpoint, answer.report, answer.models))
+            self._submit(NoticeReceived(reply.leaving_s, source, effect.endpoint))
+        self._submit(LoadReported(effect.endpoint, reply.report, reply.models))
 
     def _send_model_order(self, effect: SendModelOrder) -> None:
-        taken = send_model_order(effect, self._http_client, self._order_timeout_s)
-        self._submit(OrderAnswered(effect.endpoint, taken))
+        accepted = send_model_order(effect, self._http_client, self._order_timeout_s)
+        self._submit(OrderAnswered(effect.endpoint, accepted))
 
     def _list_started_hosts(self, effect: ListStartedHosts) -> None:
         with suppress(PlatformError):
             self._submit(StartedHostsListed(self._cloud.started()))
 
     def _start_host(self, effect: StartHost) -> None:
-        # A start without an answer shows in the next list or is repeated under the
-        # same token.
+        # If the cloud API does not answer, the next list of started hosts shows the
+        # host, or the start is repeated with the same token.
         with suppress(PlatformError):
             if not self._cloud.start(effect):
                 self._submit(StartRefused(effect.domain, effect.machine_class))
@@ -274,18 +275,18 @@
         try:
             rows = self._host_list.hosts()
         except PlatformError:
-            # The table stays as it is; the next listing comes in its turn.
+            # The table stays unchanged until the next periodic listing.
             return
         self._submit(HostsListed(rows))
 
     def _probe(self, effect: ProbePeer) -> None:
-        answer = self._peers.probe(effect.peer, effect.message, effect.helpers)
-        if answer is None:
+        reply = self._peers.probe(effect.peer, effect.message, effect.helpers)
+        if reply is None:
             self._submit(ProbeFailed(effect.node))
         else:
-            self._submit(ProbeAnswered(effect.node, answer))
+            self._submit(ProbeAnswered(effect.node, reply))
 
-    def _send_news(self, argument: tuple) -> None:
+    def _send_gossip(self, argument: tuple) -> None:
         peer, message = argument
         self._peers.probe(peer, message, ())
 
@@ -297,11 +298,11 @@
         absent = self._peers.all_absent(effect.peers, effect.query)
         self._submit(AllPeersAnswered(effect.request, absent))
 
-    def _forward(self, effect: ForwardRequest) -> None:
+    def _forward_request(self, effect: ForwardRequest) -> None:
         reply = self._peers.forward(effect.peer, effect.stored, effect.timeout_s)
         self._submit(ForwardAnswered(effect.request, reply is not None, reply))
 
-    def _fetch(self, effect: FetchConfiguration) -> None:
+    def _fetch_configuration(self, effect: FetchConfiguration) -> None:
         snapshot = self._peers.configuration(effect.peer)
         if snapshot is not None:
             self._submit(ConfigurationReceived(snapshot))
--- a/poplarrelay/node/gateway.py
+++ b/poplarrelay/node/gateway.py
@@ -1,4 +1,4 @@
-"""What the listeners' handlers use: ask the tick thread, run sessions."""
+"""Access of the listeners' handlers to the tick thread and to sessions."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 __all__ = ["Gateway"]
 
-#: Seconds within which the tick thread answers a question.
+#: Seconds in which the tick thread must reply to a call.
 CALL_TIMEOUT_S = 5.0
 
 
 class Gateway:
-    """The way from handlers to the tick thread and to the endpoints.
+    """Connects request handlers with the tick thread and the endpoints.
 
     Attributes
     ----------
@@ -59,7 +59,7 @@
         self._metrics = metrics
         self._arrivals = arrivals
         self._serial = count(1)
-        self._cancels = ThreadPoolExecutor(2, "cancel")
+        self._cancel_pool = ThreadPoolExecutor(2, "cancel")
         self.engine = engine
         self.service = service
 
@@ -74,21 +74,21 @@
         return self._metrics
 
     def new_request_id(self) -> RequestId:
-        """Return an id that names its home node and incarnation."""
+        """Return a new id that names this node, its owner, and the incarnation."""
         serial = f"{next(self._serial)}-{secrets.token_hex(6)}"
         return RequestId(f"r.{self._settings.node}.{self._incarnation}.{serial}")
 
     def submit(self, message: Message) -> None:
-        """Give a message to the tick thread."""
+        """Queue a message for the tick thread."""
         self._loop.submit(message)
 
-    def ask(self, make: Any, timeout_s: float = CALL_TIMEOUT_S) -> Any:
-        """Ask the tick thread and wait for its reply.
+    def call(self, make_message: Any, timeout_s: float = CALL_TIMEOUT_S) -> Any:
+        """Send a message to the tick thread and wait for its reply.
 
         Parameters
         ----------
-        make : callable
-            Returns the message for a call id.
+        make_message : callable
+            Function that returns the message for a call id.
         timeout_s : float
             Seconds to wait.
 
@@ -97,38 +97,38 @@
         CallTimedOut
             If there is no reply in time.
         """
-        call: CallId = self._mailboxes.open_call()
-        self._loop.submit(make(call))
-        return self._mailboxes.wait(call, timeout_s)
+        call_id: CallId = self._mailboxes.open_call()
+        self._loop.submit(make_message(call_id))
+        return self._mailboxes.wait(call_id, timeout_s)
 
-    def serve(self, arrived: RequestArrived) -> SessionEvents:
-        """Bring a request and return its events."""
-        mailbox = self._mailboxes.open(arrived.id)
-        session = Session(self, arrived.id, mailbox)
-        self._loop.submit(arrived)
-        return SessionEvents(self._mailboxes, arrived.id, mailbox, session)
+    def serve(self, arrival: RequestArrived) -> SessionEvents:
+        """Submit a request to the tick thread and return the events of its session."""
+        mailbox = self._mailboxes.open(arrival.id)
+        session = Session(self, arrival.id, mailbox)
+        self._loop.submit(arrival)
+        return SessionEvents(self._mailboxes, arrival.id, mailbox, session)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt without waiting for it."""
-        self._cancels.submit(self.engine.cancel, attempt)
+        """Start to cancel an attempt without waiting for the result."""
+        self._cancel_pool.submit(self.engine.cancel, attempt)
 
-    def drop(self, why: str) -> None:
-        """Count an event that was not passed on."""
-        self._metrics.drop(why)
+    def count_dropped(self, reason: str) -> None:
+        """Count an event of an endpoint that was not forwarded to the caller."""
+        self._metrics.count_dropped(reason)
 
-    def received(self) -> float:
-        """Return the monotonic time at which the current request came."""
+    def arrival_time(self) -> float:
+        """Return the monotonic time at which the current HTTP request arrived."""
         queued_at = cherrypy.request.wsgi_environ.get(QUEUED_AT, time.monotonic())
-        return self._arrivals.arrived(queued_at)
+        return self._arrivals.arrival_time(queued_at)
 
 
 class SessionEvents:
-    """Events of one session; closing it tells the tick thread.
+    """Iterator over the events of a session.
 
     Notes
     -----
-    An iterator class and not a generator, since a generator that was never
-    started would not run its clean-up when it is closed.
+    This is a class, because the ``finally`` block of a generator does not run if the
+    generator is closed before its first step.
     """
 
     def __init__(
@@ -150,6 +150,6 @@
         return next(self._events)
 
     def close(self) -> None:
-        """Stop the session; a request that has not ended is given up."""
+        """Close the session, which abandons a request that has not ended."""
         self._events.close()  # type: ignore[attr-defined]
         self._mailboxes.close(self._request, self._mailbox)
--- a/poplarrelay/node/log_threads.py
+++ b/poplarrelay/node/log_threads.py
@@ -1,4 +1,4 @@
-"""Threads that read and append to the log."""
+"""Threads that read records from the log and append records to it."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 __all__ = ["LogAppender", "LogReader"]
 
-#: Shortest and longest pause after a failure, in seconds.
+#: Shortest and longest pause before a retry, without jitter, in seconds.
 BACKOFF_S = (0.05, 2.0)
-#: Records in one append.
+#: Most records in one append.
 MAX_GROUP = 200
 
 Submit = Callable[[Message], None]
 
 
 class _Backoff:
-    """Pauses that double, with jitter, so that nodes do not come back at once."""
+    """Exponential backoff with jitter, so that nodes do not retry all at once."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._pause_s = BACKOFF_S[0]
 
     def reset(self) -> None:
-        """Start again with the shortest pause."""
+        """Reset the pause to the shortest one."""
         self._pause_s = BACKOFF_S[0]
 
     def next(self) -> float:
@@ -44,18 +44,18 @@
 
 
 class LogReader:
-    """Reads one stream with a long poll and hands its records to the tick thread.
+    """Reads a stream by long polling and submits its records to the tick thread.
 
     Parameters
     ----------
     stream : StreamName
-        The stream.
+        Name of the stream.
     log : LogService
-        The log.
+        Client of the log.
     submit : callable
-        Takes messages for the tick thread.
+        Queues a message for the tick thread.
     wait_s : float
-        Seconds that a read waits for the first record.
+        Seconds that a read waits for a new record.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Start to read."""
+        """Start the thread that reads."""
         name = f"log-{self._stream}"
         threading.Thread(target=self._run, name=name, daemon=True).start()
 
@@ -91,12 +91,12 @@
             except (LogRefused, LogUnavailable):
                 self._submit(LogFailed(self._stream))
                 self._stopping.wait(self._backoff.next())
-                # The first read after an outage does not wait for a record, so
-                # that the tick thread learns at once that the log is back.
+                # The first read after a failure does not wait for a record, so the
+                # tick thread learns without delay that the log is available again.
                 wait_s = 0.0
                 continue
             self._backoff.reset()
-            start, self._next = self._next, self._after(batch.next, batch.records)
+            start, self._next = self._next, self._next_offset(batch.next, batch.records)
             self._submit(
                 RecordsRead(
                     self._stream,
@@ -109,20 +109,20 @@
             )
             wait_s = self._wait_s if self._next >= batch.next else 0.0
 
-    def _after(self, log_next: Offset, records: tuple) -> Offset:
+    def _next_offset(self, log_next: Offset, records: tuple) -> Offset:
         if records:
             return Offset(records[-1].offset + 1)
         return max(self._next, log_next)
 
 
 class LogAppender:
-    """Appends records, many at a time (group commit).
+    """Appends records in groups (group commit).
 
     Notes
     -----
-    An append whose answer is lost may have taken effect. It is sent again under
-    the same record ids, and the fold drops the repetition, because the record
-    that it replaces is no longer the one in force.
+    An append whose answer is lost can have taken effect. The appender sends it
+    again with the same record ids. The fold drops the repeated record, because the
+    record that it replaces is no longer the one in force.
     """
 
     def __init__(
@@ -132,50 +132,50 @@
         self._submit = submit
         self._rng = rng
         self._waiting: dict[StreamName, deque[AppendRecord]] = {}
-        self._ready = threading.Condition()
+        self._condition = threading.Condition()
         self._stopping = False
-        self._busy: set[StreamName] = set()
+        self._busy_streams: set[StreamName] = set()
         self._threads = threads
 
     def start(self) -> None:
-        """Start to append."""
+        """Start the threads that append."""
         for index in range(self._threads):
             name = f"append-{index}"
             threading.Thread(target=self._run, name=name, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop; what waits is dropped."""
-        with self._ready:
+        """Stop the threads and drop the records that wait."""
+        with self._condition:
             self._stopping = True
-            self._ready.notify_all()
+            self._condition.notify_all()
 
     def add(self, effect: AppendRecord) -> None:
-        """Take a record to append; never blocks on I/O."""
-        with self._ready:
+        """Queue a record to append; never blocks on I/O."""
+        with self._condition:
             self._waiting.setdefault(effect.stream, deque()).append(effect)
-            self._ready.notify()
+            self._condition.notify()
 
-    def _take(self) -> tuple[StreamName, list[AppendRecord]] | None:
-        """Wait for records of a stream that no other thread appends to."""
-        with self._ready:
+    def _take_group(self) -> tuple[StreamName, list[AppendRecord]] | None:
+        """Wait for a group of records of a stream to which no other thread appends."""
+        with self._condition:
             while not self._stopping:
                 for stream, waiting in self._waiting.items():
-                    if waiting and stream not in self._busy:
-                        self._busy.add(stream)
+                    if waiting and stream not in self._busy_streams:
+                        self._busy_streams.add(stream)
                         size = min(len(waiting), MAX_GROUP)
                         return stream, [waiting.popleft() for _ in range(size)]
-                self._ready.wait()
+                self._condition.wait()
         return None
 
     def _run(self) -> None:
-        while (taken := self._take()) is not None:
-            stream, group = taken
+        while (stream_group := self._take_group()) is not None:
+            stream, group = stream_group
             try:
                 self._append(stream, group)
             finally:
-                with self._ready:
-                    self._busy.discard(stream)
-                    self._ready.notify()
+                with self._condition:
+                    self._busy_streams.discard(stream)
+                    self._condition.notify()
 
     def _append(self, stream: StreamName, group: list[AppendRecord]) -> None:
         backoff = _Backoff(self._rng)
--- a/poplarrelay/node/logs.py
+++ b/poplarrelay/node/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of a node's decisions."""
+"""Write a node's decisions to its log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 _LOG = logging.getLogger("poplarrelay.decision")
 
 
-def log_decision(decided: LogDecision) -> None:
-    """Write the line of a routing, placement or other decision."""
+def log_decision(effect: LogDecision) -> None:
+    """Write the log line of a decision, such as routing or placement."""
     if _LOG.isEnabledFor(logging.INFO):
-        _LOG.info(decided.decision.value, extra=dict(decided.fields))
+        _LOG.info(effect.decision.value, extra=dict(effect.fields))
--- a/poplarrelay/node/loop.py
+++ b/poplarrelay/node/loop.py
@@ -1,4 +1,4 @@
-"""The tick thread: it owns all tables."""
+"""The tick thread, which alone reads and writes the tables."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 __all__ = ["EXIT_TICK_FAILED", "TickLoop"]
 
-#: Messages taken into one tick, so that a flood cannot hold back the decisions.
+#: Most messages in one tick; without a limit, a flood would delay the decisions.
 MAX_BATCH = 1000
 #: Exit code of a process whose tick thread failed.
 EXIT_TICK_FAILED = 70
@@ -25,25 +25,25 @@
 
 
 class TickLoop:
-    """Runs the systems whenever a message arrives, at the latest every tick.
+    """Runs the systems when a message arrives, and at least once per tick interval.
 
     Parameters
     ----------
     world : World
-        The tables; nobody else may touch them once the loop runs.
+        The tables. No other thread can use them while the loop runs.
     perform : callable
-        Carries out an effect without blocking.
-    beat : callable
-        Is told the time of every tick.
+        Called with every effect; must not block.
+    on_tick : callable
+        Called with the monotonic time of every tick.
     """
 
     def __init__(
         self,
         world: World,
         perform: Callable[[Effect], None],
-        beat: Callable[[float], None],
+        on_tick: Callable[[float], None],
     ) -> None:
-        self._beat = beat
+        self._on_tick = on_tick
         self._world = world
         self._perform = perform
         self._messages: SimpleQueue[Message] = SimpleQueue()
@@ -51,7 +51,7 @@
         self._thread = threading.Thread(target=self._run, name="tick", daemon=True)
 
     def submit(self, message: Message) -> None:
-        """Give a message to the tick thread; never blocks."""
+        """Queue a message for the tick thread without blocking."""
         self._messages.put(message)
 
     def start(self) -> None:
@@ -62,7 +62,7 @@
         """Stop after the current tick."""
         self._stopping.set()
 
-    def _take(self) -> list[Message]:
+    def _take_batch(self) -> list[Message]:
         batch: list[Message] = []
         try:
             batch.append(self._messages.get(timeout=self._world.settings.timing.tick_s))
@@ -75,15 +75,14 @@
     def _run(self) -> None:
         try:
             while not self._stopping.is_set():
-                batch = self._take()
+                batch = self._take_batch()
                 now = time.monotonic()
-                self._beat(now)
+                self._on_tick(now)
                 for effect in run_tick(self._world, Inbox(batch), now):
                     self._perform(effect)
         except BaseException:
-            # Without its tick thread the process would accept connections and
-            # never answer, like a frozen one. Ending it at once lets peers and
-            # callers see the failure.
+            # Without a tick thread, the process would accept connections and never
+            # answer. An immediate exit shows the failure to peers and callers.
             _LOG.exception("tick failed")
             logging.shutdown()
             os._exit(EXIT_TICK_FAILED)
--- a/poplarrelay/node/mailboxes.py
+++ b/poplarrelay/node/mailboxes.py
@@ -1,4 +1,4 @@
-"""Where threads wait for what the tick thread decides."""
+"""Queues on which threads wait for instructions and replies of the tick thread."""
 
 from __future__ import annotations
 
@@ -25,40 +25,40 @@
 
 
 class CallTimedOut(PoplarrelayError):
-    """The tick thread did not answer in time."""
+    """The tick thread did not reply before the timeout."""
 
 
 class Mailbox:
-    """Instructions for one request.
+    """Queue of instructions for one request.
 
     Notes
     -----
-    A move does not queue behind other instructions: the thread that reads the
-    running attempt looks for it between two events.
+    A move is not queued with the other instructions. The thread that reads the
+    events of the running attempt looks for a move between two reads.
     """
 
     def __init__(self) -> None:
         self._instructions: SimpleQueue[Instruction] = SimpleQueue()
-        self._plan: MovePlan | None = None
-        self._concluded: EndRequest | None = None
+        self._move_plan: MovePlan | None = None
+        self._end_request: EndRequest | None = None
 
     @property
-    def concluded(self) -> EndRequest | None:
-        """Return the final outcome, if it is known already."""
-        return self._concluded
+    def end_request(self) -> EndRequest | None:
+        """Return the instruction with the final outcome; None if there is none yet."""
+        return self._end_request
 
     def put(self, instruction: Instruction | MoveAttempt) -> None:
-        """Add an instruction; called by the tick thread."""
+        """Add an instruction; only the tick thread calls this method."""
         if isinstance(instruction, MoveAttempt):
-            self._plan = instruction.plan
+            self._move_plan = instruction.plan
             return
         if isinstance(instruction, EndRequest):
-            self._concluded = instruction
+            self._end_request = instruction
         self._instructions.put(instruction)
 
-    def take_plan(self) -> MovePlan | None:
-        """Return the plan to move, once."""
-        plan, self._plan = self._plan, None
+    def take_move_plan(self) -> MovePlan | None:
+        """Return the plan of a move and remove it; None if there is none."""
+        plan, self._move_plan = self._move_plan, None
         return plan
 
     def next(self) -> Instruction:
@@ -67,37 +67,37 @@
 
 
 class Mailboxes:
-    """All mailboxes, and the calls that wait for one reply."""
+    """Mailboxes of all requests, and reply queues of calls to the tick thread."""
 
     def __init__(self) -> None:
         self._by_request: dict[RequestId, Mailbox] = {}
-        self._calls: dict[CallId, SimpleQueue[Any]] = {}
-        self._ids = count(1)
+        self._reply_queues: dict[CallId, SimpleQueue[Any]] = {}
+        self._call_ids = count(1)
         self._lock = threading.Lock()
 
     def open(self, request: RequestId) -> Mailbox:
-        """Make the mailbox of a request."""
+        """Create the mailbox of a request."""
         mailbox = Mailbox()
         with self._lock:
             self._by_request[request] = mailbox
         return mailbox
 
     def close(self, request: RequestId, mailbox: Mailbox) -> None:
-        """Forget a mailbox, unless another one took its place."""
+        """Remove a mailbox, unless another one has replaced it."""
         with self._lock:
             if self._by_request.get(request) is mailbox:
                 del self._by_request[request]
 
     def find(self, request: RequestId) -> Mailbox | None:
-        """Return the mailbox of a request, None if nobody waits."""
+        """Return the mailbox of a request; None if no thread waits for it."""
         with self._lock:
             return self._by_request.get(request)
 
     def open_call(self) -> CallId:
-        """Make an id for a call."""
+        """Create a reply queue for a call and return the id of the call."""
         with self._lock:
-            call = CallId(next(self._ids))
-            self._calls[call] = SimpleQueue()
+            call = CallId(next(self._call_ids))
+            self._reply_queues[call] = SimpleQueue()
         return call
 
     def wait(self, call: CallId, timeout_s: float) -> Any:
@@ -106,21 +106,21 @@
         Raises
         ------
         CallTimedOut
-            If there is none in time.
+            If there is no reply before the timeout.
         """
         with self._lock:
-            replies = self._calls[call]
+            replies = self._reply_queues[call]
         try:
             return replies.get(timeout=timeout_s)
         except Empty:
             raise CallTimedOut(f"no reply within {timeout_s} s") from None
         finally:
             with self._lock:
-                self._calls.pop(call, None)
+                self._reply_queues.pop(call, None)
 
     def reply(self, call: CallId, value: Any) -> None:
-        """Give a call its reply; dropped if nobody waits any more."""
+        """Put the reply to a call; drop it if no thread waits for it any more."""
         with self._lock:
-            replies = self._calls.get(call)
+            replies = self._reply_queues.get(call)
         if replies is not None:
             replies.put(value)
--- a/poplarrelay/node/metrics.py
+++ b/poplarrelay/node/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a node, kept and rendered by aioprometheus."""
+"""Metrics of a node, stored and rendered by aioprometheus."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 
     Notes
     -----
-    aioprometheus is made for asyncio and takes no locks, so a lock stands around
-    every update and the rendering.
+    aioprometheus is written for asyncio and takes no locks. Therefore a lock
+    protects every update and the rendering.
     """
 
     def __init__(self) -> None:
@@ -78,21 +78,21 @@
         with self._lock:
             self._first_token.observe(dict(effect.labels), effect.value)
 
-    def drop(self, why: str) -> None:
-        """Count an event that was not passed on."""
+    def count_dropped(self, reason: str) -> None:
+        """Count an event of an endpoint that was not forwarded to the caller."""
         with self._lock:
-            self._dropped.inc({"why": why})
+            self._dropped.inc({"why": reason})
 
     def add(self, path: str, sent: int, received: int) -> None:
-        """Count bytes of one call; see `poplarrelay.providers.http.TrafficMeter`."""
+        """Count the bytes of a call, as `poplarrelay.providers.http.TrafficMeter`."""
         kind = path.split("/", 2)[1].split("?")[0]
         with self._lock:
             self._bytes.add({"kind": kind, "way": "sent"}, sent)
             self._bytes.add({"kind": kind, "way": "received"}, received)
 
-    def render(self, accepts: Sequence[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the exposition and its headers."""
+    def render(self, accept_headers: Sequence[str]) -> tuple[bytes, dict[str, str]]:
+        """Return the metrics in the text format and the HTTP headers for them."""
         peak_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         with self._lock:
             self._memory.set({}, peak_kb * 1024)
-            return render(self._registry, list(accepts))
+            return render(self._registry, list(accept_headers))
--- a/poplarrelay/node/peer_client.py
+++ b/poplarrelay/node/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls from one node to another."""
+"""Client for the calls from one node to another."""
 
 from __future__ import annotations
 
@@ -26,34 +26,36 @@
 
 __all__ = ["IndirectProbe", "PeerClient"]
 
-#: Seconds that a question about a key may take.
+#: Timeout of a query for a key, in seconds.
 KEY_TIMEOUT_S = 0.6
-#: Seconds beyond a request's deadline that its home has to answer.
+#: Seconds after a request's deadline in which its owner can still reply.
 FORWARD_GRACE_S = 0.5
-#: Seconds that a larger transfer may take.
+#: Timeout of a configuration transfer or a handover, in seconds.
 TRANSFER_TIMEOUT_S = 2.0
-#: Seconds that a copy may take, while its caller waits to hear "accepted".
+#: Timeout of storing a copy, in seconds; the caller waits for "accepted" meanwhile.
 COPY_TIMEOUT_S = 0.7
 
 ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
 class IndirectProbe(BaseModel):
-    """Ask a peer to probe another one."""
+    """Request to a peer to probe another node."""
 
     target: str
     message: ProbeMessage
 
 
 class PeerClient:
-    """Makes calls to peers; no answer, or none that is understood, is None.
+    """Makes calls to peers.
+
+    A call without a reply, or with a reply that is not valid, returns None.
 
     Parameters
     ----------
     http_client : JsonHttpClient
-        Makes the calls.
+        HTTP client for the calls.
     probe_timeout_s : float
-        Seconds that a probe may take.
+        Timeout of a probe, in seconds.
     """
 
     def __init__(self, http_client: JsonHttpClient, probe_timeout_s: float) -> None:
@@ -66,12 +68,12 @@
         peer: str,
         path: str,
         body: BaseModel,
-        answer: type[ModelT],
+        reply_type: type[ModelT],
         timeout_s: float,
     ) -> ModelT | None:
-        # Nodes of the version before refuse fields that they do not know.
+        # Nodes of the previous version reject fields that they do not have.
         value = body.model_dump(mode="json", exclude_defaults=True)
-        return self._call("POST", peer, path, value, answer, timeout_s)
+        return self._call("POST", peer, path, value, reply_type, timeout_s)
 
     def _call(
         self,
@@ -79,7 +81,7 @@
         peer: str,
         path: str,
         body: object,
-        answer: type[ModelT],
+        reply_type: type[ModelT],
         timeout_s: float,
     ) -> ModelT | None:
         try:
@@ -89,48 +91,48 @@
         if not reply.ok:
             return None
         try:
-            return answer.model_validate(reply.value)
+            return reply_type.model_validate(reply.value)
         except ValidationError:
             return None
 
     def probe(
         self, peer: str, message: ProbeMessage, helpers: Sequence[str]
     ) -> ProbeMessage | None:
-        """Probe a peer, and through helpers if it does not answer itself."""
+        """Probe a peer directly; if it does not reply, probe it through the helpers."""
         timeout = self._probe_timeout_s
-        answer = self._post(peer, "/peer/probe", message, ProbeMessage, timeout)
-        if answer is not None or not helpers:
-            return answer
-        through = IndirectProbe(target=peer, message=message)
+        reply = self._post(peer, "/peer/probe", message, ProbeMessage, timeout)
+        if reply is not None or not helpers:
+            return reply
+        indirect_probe = IndirectProbe(target=peer, message=message)
         for helper in helpers:
-            answer = self._post(
-                helper, "/peer/through", through, ProbeMessage, 2 * timeout
+            reply = self._post(
+                helper, "/peer/through", indirect_probe, ProbeMessage, 2 * timeout
             )
-            if answer is not None:
-                return answer
+            if reply is not None:
+                return reply
         return None
 
     def query_key(self, peer: str, query: KeyQuery) -> KeyReply | None:
-        """Ask what became of a key."""
+        """Ask a peer for the state of a key."""
         return self._post(peer, "/peer/key", query, KeyReply, KEY_TIMEOUT_S)
 
     def all_absent(self, peers: Sequence[str], query: KeyQuery) -> bool:
-        """Return whether every peer says that it knows nothing of a key."""
+        """Return whether every peer replies that it has no state of a key."""
         replies = self._pool.map(lambda peer: self.query_key(peer, query), peers)
         return all(reply is not None and reply.state == "absent" for reply in replies)
 
     def forward(
-        self, peer: str, stored: RequestMessage, timeout_s: float
+        self, peer: str, message: RequestMessage, timeout_s: float
     ) -> KeyReply | None:
-        """Let a peer run a request whose ticket names it."""
+        """Send a request to the peer that its ticket names, and return the outcome."""
         timeout = max(0.0, timeout_s) + FORWARD_GRACE_S
-        answer = self._post(peer, "/peer/forward", stored, OutcomeMessage, timeout)
-        if answer is None:
+        reply = self._post(peer, "/peer/forward", message, OutcomeMessage, timeout)
+        if reply is None:
             return None
-        return KeyReply(state="finished", outcome=answer)
+        return KeyReply(state="finished", outcome=reply)
 
     def configuration(self, peer: str) -> SnapshotRecord | None:
-        """Return a peer's configuration in force."""
+        """Return the configuration in force at a peer."""
         return self._call(
             "GET",
             peer,
@@ -141,15 +143,15 @@
         )
 
     def store_copy(self, peer: str, message: CopyMessage) -> CopyReply | None:
-        """Give a peer a copy of a deferred request."""
+        """Send a copy of a deferred request to a peer."""
         return self._post(peer, "/peer/copy", message, CopyReply, COPY_TIMEOUT_S)
 
     def query_copies(self, peer: str, query: CopyQuery) -> CopyStatuses | None:
-        """Ask what a peer has of requests whose home is gone."""
+        """Ask a peer for the copies that it has of requests whose owner is gone."""
         return self._post(peer, "/peer/copies", query, CopyStatuses, COPY_TIMEOUT_S)
 
     def hand_over(self, peer: str, message: HandoverMessage) -> HandoverReply | None:
-        """Hand over to a peer."""
+        """Hand over keys and requests of this node to a peer."""
         return self._post(
             peer, "/peer/handover", message, HandoverReply, TRANSFER_TIMEOUT_S
         )
--- a/poplarrelay/node/peer_handlers.py
+++ b/poplarrelay/node/peer_handlers.py
@@ -1,4 +1,4 @@
-"""The second listener: peers, operators, health and metrics."""
+"""Handlers of the peers' listener: peers, operators, health and metrics."""
 
 from __future__ import annotations
 
@@ -45,7 +45,11 @@
     ShutdownAsked,
     StatusAsked,
 )
-from poplarrelay.node.caller_handlers import COPY_FIELD, lookup_document, read_token
+from poplarrelay.node.caller_handlers import (
+    COPY_FIELD,
+    lookup_document,
+    read_token_digest,
+)
 from poplarrelay.node.gateway import Gateway
 from poplarrelay.node.mailboxes import CallTimedOut
 from poplarrelay.node.peer_client import IndirectProbe, PeerClient
@@ -63,7 +67,7 @@
 
 #: Largest message between nodes, in bytes.
 MAX_PEER_BYTES = 64_000_000
-#: Seconds beyond a change's own timeout that its operator is kept waiting.
+#: Seconds that an operator's call waits after the timeout of its change.
 PUBLISH_GRACE_S = 2.0
 
 
@@ -73,8 +77,8 @@
     Attributes
     ----------
     after : int or None
-        Offset that the operator has seen in force; leave it out to replace
-        whatever is in force.
+        Offset of the version that the operator has seen in force. If the field is
+        left out, the change replaces any version.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -90,79 +94,79 @@
     within_s: float = Field(gt=0, le=86_400)
 
 
-def _timed_out() -> ProblemResponse:
+def _timeout_problem() -> ProblemResponse:
     return ProblemResponse(
         Problem(503, "no-answer", "The node did not answer in time", outcome="unknown")
     )
 
 
 class PeerHandlers:
-    """``/peer/...``: what other nodes call."""
+    """Handlers of ``/peer/...``, which other nodes call."""
 
     def __init__(self, gateway: Gateway, peers: PeerClient) -> None:
         self._gateway = gateway
         self._peers = peers
 
-    def _ask(self, make: Callable, timeout_s: float = 2.0) -> object:
+    def _call(self, make_message: Callable, timeout_s: float = 2.0) -> object:
         try:
-            return self._gateway.ask(make, timeout_s)
+            return self._gateway.call(make_message, timeout_s)
         except CallTimedOut:
-            raise _timed_out() from None
+            raise _timeout_problem() from None
 
     @cherrypy.expose
     def probe(self) -> bytes:
-        """Answer a probe."""
-        probe = read_json(ProbeMessage, MAX_PEER_BYTES)
-        answer = self._ask(lambda call: ProbeReceived(call, probe))
-        return _dump(answer)
+        """Reply to a probe."""
+        message = read_json(ProbeMessage, MAX_PEER_BYTES)
+        reply = self._call(lambda call: ProbeReceived(call, message))
+        return _answer_model(reply)
 
     @cherrypy.expose
     def through(self) -> bytes:
-        """Probe another node for one that cannot reach it."""
-        through = read_json(IndirectProbe, MAX_PEER_BYTES)
-        answer = self._peers.probe(through.target, through.message, ())
-        if answer is None:
+        """Probe a node on behalf of a peer that cannot reach it."""
+        request = read_json(IndirectProbe, MAX_PEER_BYTES)
+        reply = self._peers.probe(request.target, request.message, ())
+        if reply is None:
             raise ProblemResponse(Problem(504, "no-answer", "It did not answer"))
-        return _dump(answer)
+        return _answer_model(reply)
 
     @cherrypy.expose
     def key(self) -> bytes:
-        """Tell what became of a key."""
+        """Return the state of a key."""
         query = read_json(KeyQuery, MAX_PEER_BYTES)
-        return _dump(self._ask(lambda call: KeyQueried(call, query)))
+        return _answer_model(self._call(lambda call: KeyQueried(call, query)))
 
     @cherrypy.expose
     def configuration(self) -> bytes:
-        """Give all configuration in force."""
-        snapshot = self._ask(ConfigurationAsked)
+        """Return the configuration in force."""
+        snapshot = self._call(ConfigurationAsked)
         if snapshot is None:
             raise ProblemResponse(Problem(503, "not-ready", "Not caught up yet"))
-        return _dump(snapshot)
+        return _answer_model(snapshot)
 
     @cherrypy.expose
     def handover(self) -> bytes:
-        """Take over from a node that leaves."""
-        handover = read_json(HandoverMessage, MAX_PEER_BYTES)
-        return _dump(self._ask(lambda call: HandoverReceived(call, handover)))
+        """Take over keys and requests from a node that leaves."""
+        message = read_json(HandoverMessage, MAX_PEER_BYTES)
+        return _answer_model(self._call(lambda call: HandoverReceived(call, message)))
 
     @cherrypy.expose
     def copy(self) -> bytes:
-        """Keep a copy of a deferred request."""
+        """Store a copy of a deferred request."""
         message = read_json(CopyMessage, MAX_PEER_BYTES)
-        reply = self._ask(lambda call: CopyReceived(call, message))
+        reply = self._call(lambda call: CopyReceived(call, message))
         assert isinstance(reply, CopyReply)
         return answer_json(reply.model_dump(mode="json", exclude_defaults=True))
 
     @cherrypy.expose
     def copies(self) -> bytes:
-        """Tell what this node has of requests whose home is gone."""
+        """Return the state of this node's copies of requests whose owner is gone."""
         query = read_json(CopyQuery, MAX_PEER_BYTES)
-        return _dump(self._ask(lambda call: CopiesQueried(call, query)))
+        return _answer_model(self._call(lambda call: CopiesQueried(call, query)))
 
     @cherrypy.expose
     def requests(self, request: str, team: str) -> bytes:
-        """Tell what became of a deferred request."""
-        found = self._ask(
+        """Return the state of a deferred request."""
+        found = self._call(
             lambda call: LookupAsked(
                 call, "", RequestId(request), TeamId(team), forwarded=True
             )
@@ -177,29 +181,29 @@
 
     @cherrypy.expose
     def forward(self) -> bytes:
-        """Run a request whose ticket names this node."""
-        stored = read_json(RequestMessage, MAX_PEER_BYTES)
+        """Run a request whose ticket names this node, and return the outcome."""
+        message = read_json(RequestMessage, MAX_PEER_BYTES)
         arrived = RequestArrived(
             id=self._gateway.new_request_id(),
             token_sha256="",
-            work=decode_work(stored),
-            request_class=RequestClass(stored.request_class),
-            timeout_s=stored.remaining_s,
-            received=self._gateway.received(),
-            key=None if stored.key is None else IdempotencyKey(stored.key),
+            work=decode_work(message),
+            request_class=RequestClass(message.request_class),
+            timeout_s=message.remaining_s,
+            received=self._gateway.arrival_time(),
+            key=None if message.key is None else IdempotencyKey(message.key),
             forwarded=True,
-            team=TeamId(stored.team),
-            age_s=stored.age_s,
-            home_clock=stored.home_clock,
+            team=TeamId(message.team),
+            age_s=message.age_s,
+            home_clock=message.home_clock,
         )
         events = self._gateway.serve(arrived)
         try:
-            return _dump(_forwarded(events))
+            return _answer_model(_final_outcome(events))
         finally:
             events.close()
 
 
-def _forwarded(events: object) -> OutcomeMessage:
+def _final_outcome(events: object) -> OutcomeMessage:
     for event in events:  # type: ignore[attr-defined]
         if isinstance(event, Ended):
             return encode_outcome(event.outcome)
@@ -208,54 +212,54 @@
     return encode_outcome(Unknown(UnknownReason.ATTEMPT_BROKEN))
 
 
-def _dump(value: object) -> bytes:
+def _answer_model(value: object) -> bytes:
     assert isinstance(value, BaseModel)
     return answer_json(value.model_dump(mode="json"))
 
 
 class OperatorHandlers:
-    """``/operator/...``: what operators call."""
+    """Handlers of ``/operator/...``, which operators call."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
 
     def _check_token(self) -> None:
-        wanted = self._gateway.settings.operator_token_sha256
-        if wanted is None:
+        expected_digest = self._gateway.settings.operator_token_sha256
+        if expected_digest is None:
             return
         try:
-            given = read_token()
+            digest = read_token_digest()
         except AuthenticationFailed as error:
             raise reject(error) from None
-        if not hmac.compare_digest(given, wanted):
+        if not hmac.compare_digest(digest, expected_digest):
             raise reject(AuthenticationFailed("this is not the operators' token"))
 
     @cherrypy.expose
     def configuration(self) -> bytes:
-        """Publish a change, or tell all that is in force."""
+        """Publish a change (POST) or return the configuration in force (GET)."""
         require_method("GET", "POST")
         self._check_token()
         if cherrypy.request.method == "GET":
-            return _dump(self._gateway.ask(ConfigurationAsked))
+            return _answer_model(self._gateway.call(ConfigurationAsked))
         body = read_json(ChangeBody, MAX_PEER_BYTES)
-        checked = "after" in body.model_fields_set
+        check_after = "after" in body.model_fields_set
         after = None if body.after is None else Offset(body.after)
-        verdict = self._gateway.ask(
-            lambda call: ChangeAsked(call, body.subject, body.body, after, checked),
+        result = self._gateway.call(
+            lambda call: ChangeAsked(call, body.subject, body.body, after, check_after),
             PUBLISH_TIMEOUT_S + PUBLISH_GRACE_S,
         )
-        return _verdict(verdict)
+        return _answer_change(result)
 
     @cherrypy.expose
     def history(self) -> bytes:
-        """Tell the newest changes, and which came into force."""
+        """Return the newest changes and which of them came into force."""
         require_method("GET")
         self._check_token()
-        return answer_json({"changes": self._gateway.ask(HistoryAsked)})
+        return answer_json({"changes": self._gateway.call(HistoryAsked)})
 
     @cherrypy.expose
     def drain(self) -> bytes:
-        """Let this node leave."""
+        """Make this node leave."""
         require_method("POST")
         self._check_token()
         body = read_json(DrainBody, MAX_PEER_BYTES)
@@ -263,24 +267,24 @@
         return answer_json({"status": "leaving"}, status=202)
 
 
-def _verdict(verdict: object) -> bytes:
-    if isinstance(verdict, ChangeResult):
-        return answer_json({"status": "accepted", "offset": verdict.winner})
+def _answer_change(result: object) -> bytes:
+    if isinstance(result, ChangeResult):
+        return answer_json({"status": "accepted", "offset": result.winner})
     cherrypy.response.headers["Content-Type"] = "application/problem+json"
-    document: dict[str, object] = {"detail": str(verdict)}
-    if isinstance(verdict, ConfigurationConflict):
+    document: dict[str, object] = {"detail": str(result)}
+    if isinstance(result, ConfigurationConflict):
         status, slug = 409, "configuration-conflict"
-        document["winner"] = verdict.winner
-    elif isinstance(verdict, InvalidConfiguration):
+        document["winner"] = result.winner
+    elif isinstance(result, InvalidConfiguration):
         status, slug = 422, "configuration-invalid"
         document["faults"] = [
-            {"place": fault.place, "problem": fault.problem} for fault in verdict.faults
+            {"place": fault.place, "problem": fault.problem} for fault in result.faults
         ]
-    elif isinstance(verdict, LogUnavailable):
+    elif isinstance(result, LogUnavailable):
         status, slug = 503, "log-unavailable"
         document["outcome"] = "not_run"
     else:
-        assert isinstance(verdict, ConfigurationUnconfirmed)
+        assert isinstance(result, ConfigurationUnconfirmed)
         status, slug = 504, "configuration-unconfirmed"
         document["outcome"] = "unknown"
     document["type"] = f"urn:poplarrelay:problem:{slug}"
@@ -291,7 +295,7 @@
 
 
 class PeersRoot:
-    """Root of the second listener."""
+    """Root of the URL tree of the peers' listener."""
 
     def __init__(self, gateway: Gateway, peers: PeerClient) -> None:
         self._gateway = gateway
@@ -300,33 +304,33 @@
 
     def _status(self) -> NodeStatus:
         try:
-            status = self._gateway.ask(StatusAsked, 2.0)
+            status = self._gateway.call(StatusAsked, 2.0)
         except CallTimedOut:
-            raise _timed_out() from None
+            raise _timeout_problem() from None
         assert isinstance(status, NodeStatus)
         return status
 
     @cherrypy.expose
     def health(self) -> bytes:
-        """Tell whether the process works; 503 if its tick thread does not."""
+        """Return the node's phase; 503 if its tick thread does not reply."""
         status = self._status()
         return answer_json({"node": status.node, "phase": status.phase})
 
     @cherrypy.expose
     def ready(self) -> bytes:
-        """Tell whether the node takes work; 503 if it does not."""
+        """Return whether the node accepts work; 503 if it does not."""
         status = self._status()
         body = {"node": status.node, "ready": status.ready, "phase": status.phase}
         return answer_json(body, status=200 if status.ready else 503)
 
     @cherrypy.expose
     def status(self) -> bytes:
-        """Tell the node's view of itself and of the others."""
+        """Return the node's status and its view of the other nodes."""
         return answer_json(self._status())
 
     @cherrypy.expose
     def metrics(self) -> bytes:
-        """Give the metrics in Prometheus' text form."""
+        """Return the metrics in the text format of Prometheus."""
         accepts = cherrypy.request.headers.get("Accept", "")
         body, headers = self._gateway.metrics.render([accepts])
         cherrypy.response.headers.update(headers)
--- a/poplarrelay/node/process.py
+++ b/poplarrelay/node/process.py
@@ -1,4 +1,4 @@
-"""A node's process: wiring, signals, exit code."""
+"""The process of a node: its objects, threads, signals and exit code."""
 
 from __future__ import annotations
 
@@ -31,32 +31,32 @@
 from poplarrelay.tables.world import CLAIMS, CONFIGURATION, World
 from poplarrelay.web.listener import Listener, ListenerLimits, stop_listeners
 
-__all__ = ["EXIT_CUT_OFF", "EXIT_OK", "Node"]
+__all__ = ["EXIT_OK", "EXIT_UNCLEAN", "Node"]
 
 EXIT_OK = 0
-#: The node left, but something was cut off or could not be handed over.
-EXIT_CUT_OFF = 75
-#: Stack of a thread; a stream needs little, and there may be hundreds.
+#: Exit code if the node aborted requests or could not hand over all its state.
+EXIT_UNCLEAN = 75
+#: Stack size of a thread; streams need little stack, and hundreds can run at once.
 THREAD_STACK_BYTES = 512 * 1024
-#: Seconds between the last answer and the end, for it to be written out.
+#: Seconds before the listeners stop, so that the last answer is written out.
 LINGER_S = 0.5
-#: Seconds within which a second signal makes the node leave.
-HURRY_S = 2.0
-#: Seconds that a read of notices waits for the first one.
+#: Seconds in which the node leaves after a second signal.
+HURRIED_DRAIN_S = 2.0
+#: Seconds that a request for notices waits for the first notice.
 NOTICE_WAIT_S = 5.0
 
 _LOG = logging.getLogger("poplarrelay.node")
 
 
 class Node:
-    """One node.
+    """A node of the system.
 
     Parameters
     ----------
     settings : NodeSettings
-        Its settings.
+        Settings of the node.
     seed : int or None
-        Seed of its random choices, None for a new one.
+        Seed of the node's random choices; None for a random seed.
     """
 
     def __init__(self, settings: NodeSettings, seed: int | None = None) -> None:
@@ -77,7 +77,7 @@
             timing.connect_timeout_s, meter=self._metrics
         )
         self._arrivals = ArrivalClock()
-        self._loop = TickLoop(self._world, self._perform, self._arrivals.beat)
+        self._loop = TickLoop(self._world, self._perform, self._arrivals.record_tick)
         log = HttpLogService(
             settings.platform.log, timing.log_timeout_s, self._http_client
         )
@@ -120,7 +120,7 @@
 
     @classmethod
     def from_settings(cls, settings: NodeSettings) -> Node:
-        """Return a node that has not started yet."""
+        """Return a node that is not started."""
         return cls(settings)
 
     def _callers_listener(self, gateway: Gateway) -> Listener:
@@ -162,7 +162,7 @@
         self._appender.start()
         for reader in self._readers:
             reader.start()
-        threading.Thread(target=self._hear, name="notices", daemon=True).start()
+        threading.Thread(target=self._poll_notices, name="notices", daemon=True).start()
         _LOG.info(
             "started",
             extra={
@@ -173,28 +173,28 @@
             },
         )
 
-    def _hear(self) -> None:
-        """Read the cloud API's notices."""
+    def _poll_notices(self) -> None:
+        """Poll the cloud API for notices and submit them to the tick thread."""
         start = 0
         rng = random.Random(self._seed + 1)
         while not self._done.is_set():
             try:
-                heard = self._cloud.notices(start, NOTICE_WAIT_S)
+                batch = self._cloud.notices(start, NOTICE_WAIT_S)
             except PlatformError:
                 self._done.wait(0.2 + 0.3 * rng.random())
                 continue
-            start = heard.next
-            for notice in heard.notices:
+            start = batch.next
+            for notice in batch.notices:
                 self._loop.submit(notice)
 
     def install_signals(self) -> None:
-        """Let SIGTERM and SIGINT make the node leave; a second one hurries."""
-        seen: list[int] = []
+        """Make the node leave on SIGTERM or SIGINT, and sooner on a second signal."""
+        signals: list[int] = []
 
         def leave(number: int, frame: FrameType | None) -> None:
-            within = HURRY_S if seen else self._settings.timing.drain_s
-            seen.append(number)
-            self._loop.submit(ShutdownAsked(within))
+            drain_s = HURRIED_DRAIN_S if signals else self._settings.timing.drain_s
+            signals.append(number)
+            self._loop.submit(ShutdownAsked(drain_s))
 
         signal.signal(signal.SIGTERM, leave)
         signal.signal(signal.SIGINT, leave)
@@ -210,4 +210,4 @@
         stop_listeners([self._callers, self._peers])
         self._loop.stop()
         _LOG.info("stopped", extra={"clean": self._clean})
-        return EXIT_OK if self._clean else EXIT_CUT_OFF
+        return EXIT_OK if self._clean else EXIT_UNCLEAN
--- a/poplarrelay/node/request_bodies.py
+++ b/poplarrelay/node/request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, in the OpenAI form."""
+"""Models of the bodies of callers' requests, in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     "service_work",
 ]
 
-#: Characters of a prompt that make its prefix for affinity.
+#: Characters at the start of a prompt that determine its affinity.
 PREFIX_CHARACTERS = 512
-#: Characters that make a token, for estimates.
+#: Characters per token, for estimates of the prompt's length.
 CHARACTERS_PER_TOKEN = 5
 MAX_TOKENS = 100_000
 
 
 class _Body(BaseModel):
-    """Fields that this system does not use are let through unread."""
+    """Base model, which ignores fields that this system does not use."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -37,7 +37,7 @@
     Attributes
     ----------
     resume_from : int
-        Index of the first token wanted, for a caller that goes on with a stream.
+        Index of the first token to send, for a caller that resumes a stream.
     """
 
     model: str = Field(min_length=1, max_length=128)
@@ -48,7 +48,7 @@
 
 
 class ChatMessage(_Body):
-    """One message of a chat."""
+    """A message of a chat."""
 
     role: str = Field(max_length=32)
     content: str
@@ -65,13 +65,13 @@
 
     @property
     def prompt(self) -> str:
-        """Return the prompt that the messages make."""
+        """Return the messages as one prompt, with a line for each message."""
         lines = [f"{message.role}: {message.content}" for message in self.messages]
         return "\n".join([*lines, "assistant:"])
 
 
 class DeferredBody(_Body):
-    """Body of ``POST /v1/requests``: a call to be made later."""
+    """Body of ``POST /v1/requests``: a call to run later."""
 
     method: Literal["GET", "POST", "PUT", "PATCH", "DELETE"] = "POST"
     url: str = Field(pattern=r"^/(v1/(chat/)?completions|services/[^/]+(/.*)?)$")
@@ -88,7 +88,7 @@
 
 
 def completion_work(model: str, prompt: str, max_tokens: int, resume_from: int) -> Work:
-    """Return the work of a completion."""
+    """Return the work for a completion request."""
     return Work(
         kind=WorkKind.COMPLETION,
         name=model,
@@ -102,16 +102,17 @@
 
 
 def chat_work(body: ChatBody) -> Work:
-    """Return the work of a chat completion."""
+    """Return the work for a chat completion request."""
     return completion_work(body.model, body.prompt, body.max_tokens, body.resume_from)
 
 
 def service_work(
     service: str, method: str, path: str, content_type: str, body: bytes
 ) -> Work:
-    """Return the work of a plain service's call.
+    """Return the work for a call to a plain service.
 
-    Whether it may be repeated is settled on admission, from the deployment.
+    The work is not repeatable here. On admission, the deployment decides whether
+    the call can be repeated.
     """
     return Work(
         kind=WorkKind.SERVICE,
--- a/poplarrelay/node/sessions.py
+++ b/poplarrelay/node/sessions.py
@@ -1,4 +1,4 @@
-"""Run a request's attempts on the thread that waits for its answer."""
+"""Run the attempts of a request on the thread that waits for its outcome."""
 
 from __future__ import annotations
 
@@ -50,18 +50,18 @@
     "Tokens",
 ]
 
-#: Tokens between two reports of progress to the tick thread.
+#: Tokens between two progress reports to the tick thread.
 PROGRESS_TOKENS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Tokens:
-    """Tokens for the caller that came together.
+    """Consecutive tokens for the caller that arrived together.
 
     Attributes
     ----------
     first : int
-        Index of the first one.
+        Index of the first token in the answer.
     """
 
     first: int
@@ -70,15 +70,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The final outcome; `tokens` is the index after the last token."""
+    """The final outcome of a request.
+
+    Attributes
+    ----------
+    next_index : int
+        Index after the last token that was received.
+    """
 
     outcome: Outcome
-    tokens: int
+    next_index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request was not acceptable."""
+    """The request is not acceptable and was not run."""
 
     error: CallerError
 
@@ -92,21 +98,21 @@
 
 
 class Runtime(Protocol):
-    """What a session needs of the node."""
+    """Interface of the node that a session uses."""
 
     engine: Engine
     service: PlainService
 
     def submit(self, message: Message) -> None:
-        """Give a message to the tick thread."""
+        """Queue a message for the tick thread."""
         ...
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt without waiting for it."""
+        """Start to cancel an attempt without waiting for the result."""
         ...
 
-    def drop(self, why: str) -> None:
-        """Count an event that was not passed on."""
+    def count_dropped(self, reason: str) -> None:
+        """Count an event of an endpoint that was not forwarded to the caller."""
         ...
 
 
@@ -120,51 +126,52 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """What has been received over all attempts of a request."""
+    """Tokens and token counts received over all attempts of a request."""
 
     next_index: int = 0
-    parts: list[str] = field(default_factory=list)
+    texts: list[str] = field(default_factory=list)
     prompt_tokens: int = 0
     cached_tokens: int = 0
     recomputed_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class _Step:
-    """How one attempt of a completion ended.
+class _AttemptEnd:
+    """The end of one attempt of a completion.
 
     Attributes
     ----------
     result : AttemptResult or None
-        None if nobody needs to be told.
-    plan : MovePlan or None
-        Set if the request goes on elsewhere.
-    source : CacheSource or None
-        The cache that the next attempt can start from.
+        Result to report to the tick thread; None if the tick thread has ended the
+        request already.
+    move_plan : MovePlan or None
+        Set if the request continues at another endpoint.
+    cache_source : CacheSource or None
+        Exported cache with which the next attempt can start.
     """
 
     result: AttemptResult | None = None
-    plan: MovePlan | None = None
-    source: CacheSource | None = None
+    move_plan: MovePlan | None = None
+    cache_source: CacheSource | None = None
 
 
 class Session:
-    """Carries out the tick thread's instructions for one request.
+    """Follows the tick thread's instructions for one request.
 
     Parameters
     ----------
     runtime : Runtime
         The node.
     request : RequestId
-        The request.
+        Id of the request.
     mailbox : Mailbox
-        Where its instructions arrive.
+        Receives the instructions for the request.
 
     Notes
     -----
-    Tokens do not pass through the tick thread. The session checks the attempt and
-    the index of each event, so the caller gets every index once and in order,
-    whatever late or doubled events an engine sends.
+    Tokens do not pass through the tick thread. An engine can send late or repeated
+    events. Therefore the session checks the attempt and the index of each event, and
+    the caller gets every index once and in order.
     """
 
     def __init__(self, runtime: Runtime, request: RequestId, mailbox: Mailbox) -> None:
@@ -173,29 +180,29 @@
         self._mailbox = mailbox
         self._progress = _Progress()
         self._running: Attempt | None = None
-        self._exporting: MovePlan | None = None
-        self._finished: Answered | None = None
+        self._export_plan: MovePlan | None = None
+        self._direct_answer: Answered | None = None
         self._keyed = False
 
     def events(self) -> Iterator[CallerEvent]:
-        """Return what the caller gets, up to the final outcome."""
+        """Return the events for the caller, up to the final outcome."""
         ended = False
         try:
             while not ended:
                 instruction = self._mailbox.next()
                 if isinstance(instruction, RunAttempt):
                     yield from self.run_attempt(instruction)
-                    if self._finished is not None:
+                    if self._direct_answer is not None:
                         ended = True
-                        yield Ended(self._finished, self._progress.next_index)
+                        yield Ended(self._direct_answer, self._progress.next_index)
                 else:
                     ended = True
-                    yield self._final(instruction)
+                    yield self._final_event(instruction)
         finally:
             if not ended:
                 self._abandon()
 
-    def _final(
+    def _final_event(
         self, instruction: EndRequest | RejectRequest | AcceptDeferred
     ) -> CallerEvent:
         if isinstance(instruction, EndRequest):
@@ -209,81 +216,83 @@
             self._runtime.cancel(self._running)
         self._runtime.submit(CallerDisconnected(self._request))
 
-    def run_attempt(self, order: RunAttempt) -> Iterator[CallerEvent]:
-        """Run one attempt and tell the tick thread how it ended.
+    def run_attempt(self, instruction: RunAttempt) -> Iterator[CallerEvent]:
+        """Run one attempt and report its result to the tick thread.
 
         Notes
         -----
-        The deadline is compared right before anything is sent: the process may
-        have been frozen since the tick thread decided, and the caller is told
-        by then that the request is over.
+        The session checks the deadline right before it sends the attempt. The
+        process can have been frozen since the tick thread decided, and after the
+        deadline the caller is told that the request has ended.
         """
-        attempt = order.attempt
-        self._keyed = order.keyed
+        attempt = instruction.attempt
+        self._keyed = instruction.keyed
         if time.monotonic() >= attempt.deadline:
-            self._end(attempt, AttemptResult.NOT_STARTED)
+            self._report_end(attempt, AttemptResult.NOT_STARTED)
             return
         self._running = attempt
-        if order.work.kind is WorkKind.SERVICE:
-            self._call_service(order)
+        if instruction.work.kind is WorkKind.SERVICE:
+            self._call_service(instruction)
         else:
-            yield from self._complete(order)
+            yield from self._run_completion(instruction)
         self._running = None
 
     # -- plain services ----------------------------------------------------
 
-    def _call_service(self, order: RunAttempt) -> None:
-        attempt = order.attempt
+    def _call_service(self, instruction: RunAttempt) -> None:
+        attempt = instruction.attempt
         try:
-            answer = self._runtime.service.call(attempt, order.work, order.team)
+            answer = self._runtime.service.call(
+                attempt, instruction.work, instruction.team
+            )
         except EndpointRefused:
-            self._end(attempt, AttemptResult.NOT_STARTED)
+            self._report_end(attempt, AttemptResult.NOT_STARTED)
         except EndpointBroken:
             late = time.monotonic() >= attempt.deadline
             result = AttemptResult.EXPIRED if late else AttemptResult.BROKEN
-            self._end(attempt, result)
+            self._report_end(attempt, result)
         else:
-            self._end(attempt, AttemptResult.FINISHED, service=answer)
+            self._report_end(attempt, AttemptResult.FINISHED, service=answer)
 
     # -- completions -------------------------------------------------------
 
-    def _complete(self, order: RunAttempt) -> Iterator[CallerEvent]:
-        attempt, source = order.attempt, None
+    def _run_completion(self, instruction: RunAttempt) -> Iterator[CallerEvent]:
+        attempt, source = instruction.attempt, None
         while True:
             self._running = attempt
             progress = self._progress
             progress.next_index = max(progress.next_index, attempt.resume_from)
-            step = yield from self._step(order, attempt, source)
-            if step.plan is None:
-                if step.result is not None:
-                    self._end(attempt, step.result)
+            attempt_end = yield from self._run_until_end(instruction, attempt, source)
+            if attempt_end.move_plan is None:
+                if attempt_end.result is not None:
+                    self._report_end(attempt, attempt_end.result)
                 return
-            source = step.source
-            attempt = self._next_attempt(step.plan)
-
-    def _step(
-        self, order: RunAttempt, attempt: Attempt, source: CacheSource | None
-    ) -> Generator[CallerEvent, None, _Step]:
-        """Run one attempt to its end, its failure, or its move."""
-        self._exporting = None
+            source = attempt_end.cache_source
+            attempt = self._next_attempt(attempt_end.move_plan)
+
+    def _run_until_end(
+        self, instruction: RunAttempt, attempt: Attempt, source: CacheSource | None
+    ) -> Generator[CallerEvent, None, _AttemptEnd]:
+        """Run one attempt until it ends, fails or is moved."""
+        self._export_plan = None
         try:
-            return (yield from self._relay(order, attempt, source))
+            return (yield from self._relay_tokens(instruction, attempt, source))
         except EndpointRefused:
-            return _Step(AttemptResult.NOT_STARTED, self._pending_plan())
+            return _AttemptEnd(AttemptResult.NOT_STARTED, self._pending_move_plan())
         except EndpointBroken:
             if time.monotonic() >= attempt.deadline:
-                return _Step(AttemptResult.EXPIRED)
-            return _Step(AttemptResult.BROKEN, self._pending_plan())
+                return _AttemptEnd(AttemptResult.EXPIRED)
+            return _AttemptEnd(AttemptResult.BROKEN, self._pending_move_plan())
         except _DeadlinePassed:
             self._runtime.cancel(attempt)
-            return _Step(AttemptResult.EXPIRED)
+            return _AttemptEnd(AttemptResult.EXPIRED)
         except _RequestEnded:
             self._runtime.cancel(attempt)
-            return _Step()
+            return _AttemptEnd()
 
-    def _pending_plan(self) -> MovePlan | None:
-        """Return the plan of a move that a failure has overtaken."""
-        return self._mailbox.take_plan() or self._exporting
+    def _pending_move_plan(self) -> MovePlan | None:
+        """Return the plan of a move that was not complete when the attempt failed."""
+        return self._mailbox.take_move_plan() or self._export_plan
 
     def _next_attempt(self, plan: MovePlan) -> Attempt:
         successor = plan.successor
@@ -297,60 +306,70 @@
             recomputed=successor.recomputed,
         )
 
-    def _relay(
-        self, order: RunAttempt, attempt: Attempt, source: CacheSource | None
-    ) -> Generator[CallerEvent, None, _Step]:
-        """Pass on the tokens of one attempt.
+    def _relay_tokens(
+        self, instruction: RunAttempt, attempt: Attempt, source: CacheSource | None
+    ) -> Generator[CallerEvent, None, _AttemptEnd]:
+        """Forward the tokens of one attempt to the caller.
 
         Raises
         ------
         EndpointRefused, EndpointBroken
-            As the engine's stream does, or if an index is missing.
+            If the engine's stream raises it, a token is missing, or the end is not
+            valid.
         """
         stream = self._runtime.engine.complete(
-            attempt, order.work, order.team, order.urgency, source
+            attempt, instruction.work, instruction.team, instruction.urgency, source
         )
         with closing(stream):
             for events in stream:
                 end = events.pop() if isinstance(events[-1], EngineEnd) else None
-                yield from self._accept_all(attempt, events)
+                yield from self._accept_tokens(attempt, events)
                 if isinstance(end, EngineEnd):
-                    return self._take_end(attempt, end)
+                    return self._check_end(attempt, end)
                 self._check_running(attempt)
-                plan = self._mailbox.take_plan()
-                if plan is not None and not self._export(attempt, plan):
+                plan = self._mailbox.take_move_plan()
+                if plan is not None and not self._start_export(attempt, plan):
                     self._runtime.cancel(attempt)
-                    return _Step(plan=plan)
-        raise EndpointBroken("the stream was cut")
+                    return _AttemptEnd(move_plan=plan)
+        raise EndpointBroken("the stream closed without an end event")
+
+    def _start_export(self, attempt: Attempt, plan: MovePlan) -> bool:
+        """Return whether the export of the cache started; False if no move needs it.
 
-    def _export(self, attempt: Attempt, plan: MovePlan) -> bool:
-        """Begin to move the cache; the stream goes on to the exported end."""
+        The stream continues until its end event says that the cache is exported.
+        """
         if plan.way is not MoveMethod.MOVE_CACHE:
             return False
-        self._exporting = plan
+        self._export_plan = plan
         return self._runtime.engine.export_cache(attempt)
 
-    def _take_end(self, attempt: Attempt, end: EngineEnd) -> _Step:
-        """Refuse an end that is not this attempt's or leaves tokens out.
+    def _check_end(self, attempt: Attempt, end: EngineEnd) -> _AttemptEnd:
+        """Return the end of the attempt for a valid end event of its stream.
+
+        Without these checks, a stream that lost its last tokens would look complete.
 
-        Without this check, a stream that lost its tail would look whole.
+        Raises
+        ------
+        EndpointBroken
+            If the end event is of another attempt, its token count is wrong, or it
+            names an exported cache without a request for the export.
         """
         if end.attempt != attempt.id:
-            raise EndpointBroken("the end belongs to another attempt")
+            raise EndpointBroken("the end event belongs to another attempt")
         if end.count != self._progress.next_index:
-            raise EndpointBroken("the end does not match the tokens")
+            raise EndpointBroken("the token count of the end event is wrong")
         if end.reason is EndReason.EXPORTED:
-            if self._exporting is None:
-                raise EndpointBroken("the cache was exported unasked")
+            if self._export_plan is None:
+                raise EndpointBroken("the engine exported the cache without a request")
             source = CacheSource(attempt.address, end.export)
-            return _Step(plan=self._exporting, source=source)
-        self._add_usage(attempt, end)
-        return _Step(AttemptResult.FINISHED)
+            return _AttemptEnd(move_plan=self._export_plan, cache_source=source)
+        self._record_usage(attempt, end)
+        return _AttemptEnd(AttemptResult.FINISHED)
 
-    def _accept_all(
+    def _accept_tokens(
         self, attempt: Attempt, events: list[CompletionEvent]
     ) -> Iterator[Tokens]:
-        """Pass on the tokens that are next; what came before a fault is kept."""
+        """Forward the next tokens; tokens before a faulty event are forwarded too."""
         first = self._progress.next_index
         fault: EndpointBroken | None = None
         texts: list[str] = []
@@ -362,8 +381,8 @@
             fault = error
         if texts:
             self._progress.next_index += len(texts)
-            self._progress.parts.extend(texts)
-            self._report(attempt, first)
+            self._progress.texts.extend(texts)
+            self._report_progress(attempt, first)
             yield Tokens(first, texts)
         if fault is not None:
             raise fault
@@ -376,41 +395,41 @@
         Raises
         ------
         EndpointBroken
-            If a token is missing before it, or the stream goes on after its end.
+            If a token is missing before the event, or the event follows the end.
         """
         if isinstance(event, EngineEnd):
-            raise EndpointBroken("the stream goes on after its end")
+            raise EndpointBroken("the stream continues after its end event")
         if event.attempt != attempt.id:
-            self._runtime.drop("foreign")
+            self._runtime.count_dropped("foreign")
             return False
         if event.index < next_index:
-            self._runtime.drop("repeated")
+            self._runtime.count_dropped("repeated")
             return False
         if event.index > next_index:
-            raise EndpointBroken("a token is missing")
+            raise EndpointBroken("a token index is missing from the stream")
         return True
 
-    def _report(self, attempt: Attempt, before: int) -> None:
-        """Tell the tick thread of the first token, and then now and then."""
+    def _report_progress(self, attempt: Attempt, before: int) -> None:
+        """Report progress at the first token, then every `PROGRESS_TOKENS` tokens."""
         count = self._progress.next_index
-        first = len(self._progress.parts) == count - before
+        first = len(self._progress.texts) == count - before
         if first or count // PROGRESS_TOKENS > before // PROGRESS_TOKENS:
             self._runtime.submit(AttemptProgressed(self._request, attempt.id, count))
 
     def _check_running(self, attempt: Attempt) -> None:
         if time.monotonic() >= attempt.deadline:
-            raise _DeadlinePassed("the deadline has passed")
-        if self._mailbox.concluded is not None:
-            raise _RequestEnded("the request has ended")
+            raise _DeadlinePassed("the deadline passed during the attempt")
+        if self._mailbox.end_request is not None:
+            raise _RequestEnded("the request ended during the attempt")
 
-    def _add_usage(self, attempt: Attempt, end: EngineEnd) -> None:
+    def _record_usage(self, attempt: Attempt, end: EngineEnd) -> None:
         progress = self._progress
         progress.prompt_tokens = end.prompt_tokens
         progress.cached_tokens = end.cached_tokens
         if attempt.recomputed:
             progress.recomputed_tokens += max(0, attempt.recomputed - end.cached_tokens)
 
-    def _end(
+    def _report_end(
         self,
         attempt: Attempt,
         result: AttemptResult,
@@ -418,17 +437,17 @@
     ) -> None:
         progress = self._progress
         finished = result is AttemptResult.FINISHED
-        answer = tuple(progress.parts) if finished else ()
+        answer = tuple(progress.texts) if finished else ()
         usage = Usage(
             prompt_tokens=progress.prompt_tokens,
             completion_tokens=progress.next_index,
             cached_tokens=progress.cached_tokens,
             recomputed_tokens=progress.recomputed_tokens,
         )
-        if finished and not self._keyed and self._mailbox.concluded is None:
-            # Nobody else can hold this request, so its caller need not wait for
-            # the tick thread to note that it has ended.
-            self._finished = Answered(answer, service, usage)
+        if finished and not self._keyed and self._mailbox.end_request is None:
+            # Without a key, no other caller or node has this request. Its caller
+            # does not have to wait until the tick thread has recorded the end.
+            self._direct_answer = Answered(answer, service, usage)
         self._runtime.submit(
             AttemptEnded(
                 request=self._request,
--- a/poplarrelay/node/tests/test_bad_input.py
+++ b/poplarrelay/node/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Callers that send what is not valid get a typed 4xx, and the node goes on."""
+"""Invalid input gets a typed 4xx response, and the node still serves others."""
 
 import json
 import socket
@@ -73,6 +73,8 @@
 
 @pytest.mark.parametrize("case", CASES, ids=str)
 def test_invalid_request_is_a_typed_problem(site, node, case):
+    # Guards against invalid values that pass validation and cause a status 500, a
+    # traceback in the answer or an outcome other than "not_run".
     changes, status, slug = CASES[case]
     reply = _post(site, node, **{"body": GOOD, **changes})
     assert reply.status == status
@@ -83,28 +85,33 @@
 
 
 def test_missing_token_is_refused(site, node):
+    # Guards against a request without a bearer token that is served.
     reply = site.http_client.call("POST", node.address, PATH, GOOD)
     assert reply.status == 401
 
 
-def test_method_that_is_not_allowed(site, node):
+def test_method_not_allowed(site, node):
+    # Guards against a handler that runs for a method that it does not support.
     assert site.http_client.call("GET", node.address, PATH).status == 405
 
 
 def test_unknown_path(site, node):
+    # Guards against an unknown path that gets an answer without a problem document.
     reply = site.http_client.call("GET", node.address, "/nowhere")
     assert reply.status == 404
     assert reply.value["type"].endswith("not-found")
 
 
 def test_oversize_body_is_refused(site, node):
+    # Guards against a body over the size limit that is accepted.
     reply = _post(site, node, {**GOOD, "prompt": "x" * 30_000})
     assert reply.status == 413
     _assert_serves(site, node)
 
 
 def test_oversize_body_in_chunks_is_refused(site, node):
-    # The sender states no length, so the limit is reached only while reading.
+    # Guards against a body that has no Content-Length and is read without a limit.
+    # The listener can find out its size only while it reads.
     chunk = b"2000\r\n" + b"x" * 0x2000 + b"\r\n"
     head = (
         f"POST {PATH} HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer {TOKEN}\r\n"
@@ -116,6 +123,7 @@
 
 
 def test_broken_json_is_refused(site, node):
+    # Guards against incomplete JSON that ends in a status 500.
     head = (
         f"POST {PATH} HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer {TOKEN}\r\n"
         "Content-Length: 9\r\nConnection: close\r\n\r\n"
@@ -125,9 +133,9 @@
     _assert_serves(site, node)
 
 
-def test_slow_sender_is_given_up_and_others_are_served(site, node):
-    # The sender promises a body and sends a part of it. The listener gives up the
-    # wait for the rest; meanwhile other callers are served.
+def test_slow_sender_times_out_and_others_are_served(site, node):
+    # Guards against a sender that blocks the node. The sender sends only a part of
+    # the body; the listener must stop waiting and serve other callers meanwhile.
     head = (
         f"POST {PATH} HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer {TOKEN}\r\n"
         "Content-Length: 500\r\n\r\n{"
@@ -140,7 +148,8 @@
     assert answer.split()[1] in (b"400", b"408")
 
 
-def test_flood_of_headers_is_refused(site, node):
+def test_oversize_headers_are_refused(site, node):
+    # Guards against headers over the size limit that are accepted.
     flood = "".join(f"X-Flood-{i}: {'y' * 100}\r\n" for i in range(200))
     head = f"GET /v1/addresses HTTP/1.1\r\nHost: n\r\n{flood}\r\n"
     answer = _raw(node, head.encode())
@@ -148,18 +157,22 @@
     _assert_serves(site, node)
 
 
-def _rejected(node):
+def _rejected_types(node):
     return [line["rejected"] for line in node.log_lines() if "rejected" in line]
 
 
 def _wait_for_lines(site, node):
-    """Refuse a request and wait for its line; all earlier lines are there then."""
-    reached = _rejected(node).count("unknown-service") + 1
+    """Send a request that is refused, and wait for its log line.
+
+    Lines keep their order, so all earlier lines are written by then.
+    """
+    reached = _rejected_types(node).count("unknown-service") + 1
     _post(site, node, GOOD, path="/services/marker/x")
-    wait_until(lambda: _rejected(node).count("unknown-service") >= reached)
+    wait_until(lambda: _rejected_types(node).count("unknown-service") >= reached)
 
 
-def test_logs_hold_no_token_prompt_or_answer(site, node):
+def test_logs_contain_no_token_prompt_or_answer(site, node):
+    # Guards against log lines that contain callers' secrets or data.
     prompt = "a prompt that must not be logged"
     reply = _post(site, node, {**GOOD, "prompt": prompt})
     answer = reply.value["choices"][0]["text"]
@@ -173,11 +186,11 @@
 
 
 def test_each_refusal_has_one_log_line(site, node):
-    # A node answers before its logging thread has written the line. So the lines are
-    # counted between those of two other refusals: lines keep their order, and once
-    # the second is there, all lines of the one in between are there as well.
+    # Guards against refusals that are logged twice or not at all. The logging thread
+    # writes a line after the node has answered, so the test counts the lines between
+    # those of two other refusals; lines keep their order.
     _wait_for_lines(site, node)
-    before = len(_rejected(node))
+    before = len(_rejected_types(node))
     _post(site, node, {**GOOD, "model": "large"})
     _wait_for_lines(site, node)
-    assert _rejected(node)[before:] == ["unknown-model", "unknown-service"]
+    assert _rejected_types(node)[before:] == ["unknown-model", "unknown-service"]
--- a/poplarrelay/node/tests/test_peering.py
+++ b/poplarrelay/node/tests/test_peering.py
@@ -1,4 +1,4 @@
-"""Calls from one node to another."""
+"""Test the calls from one node to another."""
 
 from poplarrelay.messages.encoding import encode_outcome, encode_request
 from poplarrelay.node.peer_client import PeerClient
@@ -7,8 +7,8 @@
 from poplarrelay.testing.fakes import FakeSystem
 
 
-class Recorder(JsonHttpClient):
-    """Answers each call with an outcome, and keeps what was sent."""
+class RecordingClient(JsonHttpClient):
+    """HTTP client that answers each call with an outcome and records the bodies."""
 
     def __init__(self):
         super().__init__(1.0)
@@ -20,15 +20,16 @@
         return JsonReply(200, outcome.model_dump(mode="json"))
 
 
-def test_peer_of_the_version_before_understands_a_forward():
-    # Guards against forwards that older nodes refuse in a rolling restart.
+def test_forward_is_valid_for_peer_of_previous_version():
+    # Guards against forwarded requests that nodes of the previous version reject in
+    # a rolling restart, because the body has a field that they do not have.
     system = FakeSystem()
     system.defer("n1")
     system.tick("n1")
     (request,) = system.nodes["n1"].world.requests.values()
     request.copies = 0
-    recorder = Recorder()
-    stored = encode_request(request, system.now)
-    reply = PeerClient(recorder, 1.0).forward("n2:1", stored, 1.0)
+    http_client = RecordingClient()
+    message = encode_request(request, system.now)
+    reply = PeerClient(http_client, 1.0).forward("n2:1", message, 1.0)
     assert reply is not None
-    assert "copies" not in recorder.bodies[0]
+    assert "copies" not in http_client.bodies[0]
