--- a/examples/choose_an_endpoint.py
+++ b/examples/choose_an_endpoint.py
@@ -1,7 +1,7 @@
-"""Embed the routing decision: price, prediction and cached prompt heads.
+"""Use the routing decision as a library.
 
-Three engines could take a request. The dear one is idle, one cheap one is busy but
-still in time, and one cheap one would be late.
+Three engines can take a request. The expensive engine is idle. One cheap engine is busy
+but its forecast is in time. The other cheap engine would be late.
 """
 
 from random import Random
@@ -15,7 +15,7 @@
 
 
 def engine(name: str, price: float, queued_tokens: int) -> Endpoint:
-    """Return an engine with a load report."""
+    """Return an engine with a load report that has a given queue."""
     report = LoadReport(
         running=2,
         slots=8,
@@ -36,7 +36,7 @@
 
 
 def main() -> None:
-    """Print the choice and why."""
+    """Print the chosen engine and its forecast time to the first token."""
     engines = [
         engine("dear-idle", 5.0, 0),
         engine("cheap-busy", 1.0, 1500),
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,6 +1,6 @@
-"""Start a whole site, show five kinds of request and a reclaim, and end.
+"""Start a site, show five kinds of request and a reclaim, and stop the site.
 
-Exit code 0 only if every answer was whole and every booking ran once.
+The exit code is 0 only if every answer is complete and every booking runs once.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 SITE = Path(__file__).parent / "ceremony_booking_relay_western_province.json"
 TEAM = "registry-counters"
 MODEL = "packet-assistant"
-CASE_FILE = "Officer notes for the oath day packet of one family. " * 60
+LONG_PROMPT = "Officer notes for the oath day packet of one family. " * 60
 NOTICE_S = 2.0
 
 checks: list[bool] = []
 
 
 def check(what: str, good: bool) -> None:
-    """Print what was seen and remember whether it was right."""
+    """Print a result and record whether it is correct."""
     checks.append(good)
     print(f"  {'ok ' if good else 'BAD'}  {what}", flush=True)
 
@@ -34,22 +34,24 @@
     print(f"\n{text}", flush=True)
 
 
-def whole(prompt: str, count: int) -> list[str]:
-    """Return the tokens that a whole answer has."""
+def expected_tokens(prompt: str, count: int) -> list[str]:
+    """Return the tokens of a complete answer."""
     return [token_text(prompt, index) for index in range(count)]
 
 
 def show_completions(client: CallerClient, site: RunningSite) -> None:
-    """Show a streamed completion and one that is not."""
+    """Show a completion with a streamed answer and one with a single answer."""
     step("1. A streamed completion")
-    result = client.complete(MODEL, CASE_FILE, 40)
-    check(f"40 tokens, {result.usage}", result.tokens == whole(CASE_FILE, 40))
-    step("2. The same, not streamed, with its prompt cached")
+    result = client.complete(MODEL, LONG_PROMPT, 40)
+    check(
+        f"40 tokens, {result.usage}", result.tokens == expected_tokens(LONG_PROMPT, 40)
+    )
+    step("2. The same completion, not streamed, with its prompt cached")
     reply = site.http_client.call(
         "POST",
         next(iter(site.nodes.values())).address,
         "/v1/completions",
-        {"model": MODEL, "prompt": CASE_FILE, "max_tokens": 40},
+        {"model": MODEL, "prompt": LONG_PROMPT, "max_tokens": 40},
         timeout_s=30.0,
         headers={"Authorization": f"Bearer {team_token(TEAM)}"},
     )
@@ -58,31 +60,31 @@
 
 
 def show_services(client: CallerClient, site: RunningSite) -> None:
-    """Show a plain call, and a booking that may not be repeated."""
+    """Show a repeatable call of a service, and a booking that runs only once."""
     step("3. A plain service")
     seats = client.call_service("booking", "/seats?day=12", method="GET")
     check(f"status {seats.status}", seats.status == 200)
-    step("4. A booking that may not be repeated, asked for twice under one key")
+    step("4. A booking that must not be repeated, sent twice with one key")
     body = b'{"seat": "A-17", "family": "P-2201"}'
     first = client.call_service("booking", "/confirm", body)
-    again = client.call_service("booking", "/confirm", body, key=first.key)
+    repeated = client.call_service("booking", "/confirm", body, key=first.key)
     runs = [n for name, n in site.runs().items() if name.startswith("POST /confirm")]
     check(f"the desk ran it {sum(runs)} time(s)", runs == [1])
-    check("both callers got the same answer", first.body == again.body)
+    check("both calls got the same answer", first.body == repeated.body)
 
 
 def show_deferred(client: CallerClient) -> None:
-    """Show a patient report that is fetched later."""
+    """Show a deferred request whose answer is fetched later."""
     step("5. A patient report, fetched by its id")
     body = {"model": MODEL, "prompt": "season report", "max_tokens": 30}
     accepted = client.defer("/v1/completions", body)
-    found = client.wait_for(accepted.id, 30.0)
-    text = found.document["response"]["choices"][0]["text"]
-    check(f"{accepted.id}", text == "".join(whole("season report", 30)))
+    deferred = client.wait_for(accepted.id, 30.0)
+    text = deferred.document["response"]["choices"][0]["text"]
+    check(f"{accepted.id}", text == "".join(expected_tokens("season report", 30)))
 
 
-def running_on(site: RunningSite) -> str:
-    """Return the endpoint that runs an attempt."""
+def busy_endpoint(site: RunningSite) -> str:
+    """Return the name of an endpoint that runs an attempt, or an empty string."""
     for node in site.nodes:
         status = site.status(node) or {"endpoints": {}}
         for name, endpoint in status["endpoints"].items():
@@ -92,22 +94,24 @@
 
 
 def show_reclaim(client: CallerClient, site: RunningSite) -> None:
-    """Show an endpoint that is reclaimed while it streams."""
+    """Show a stream that continues when its endpoint is reclaimed."""
     step(f"An endpoint is reclaimed under a live stream, {NOTICE_S:.0f} s after notice")
-    prompt = CASE_FILE + "reclaimed"
+    prompt = LONG_PROMPT + "reclaimed"
     result = CompletionResult()
     stream = client.stream(MODEL, prompt, 400, 60.0, "standard", result)
     for _ in range(20):
         next(stream)
-    victim = wait_until(lambda: running_on(site), what="an attempt that runs")
-    print(f"       notice for {victim} after {len(result.tokens)} tokens", flush=True)
-    site.notice(NOTICE_S, endpoint=victim)
-    reclaim = threading.Timer(NOTICE_S, site.endpoints[victim].kill)
+    reclaimed = wait_until(lambda: busy_endpoint(site), what="a running attempt")
+    print(
+        f"       notice for {reclaimed} after {len(result.tokens)} tokens", flush=True
+    )
+    site.notice(NOTICE_S, endpoint=reclaimed)
+    reclaim = threading.Timer(NOTICE_S, site.endpoints[reclaimed].kill)
     reclaim.start()
     for _ in stream:
         pass
     reclaim.join()
-    check(f"400 tokens, {result.usage}", result.tokens == whole(prompt, 400))
+    check(f"400 tokens, {result.usage}", result.tokens == expected_tokens(prompt, 400))
     check(f"{result.streams} stream(s) to the caller", result.streams == 1)
     moves = [
         line
@@ -127,14 +131,14 @@
         f"{len(site.failure_domains)} failure domains, and the platform ...",
         flush=True,
     )
-    with run_site(site) as running:
-        client = running.client(TEAM)
-        show_completions(client, running)
-        show_services(client, running)
+    with run_site(site) as running_site:
+        client = running_site.client(TEAM)
+        show_completions(client, running_site)
+        show_services(client, running_site)
         show_deferred(client)
-        show_reclaim(client, running)
+        show_reclaim(client, running_site)
     good = all(checks)
-    print(f"\n{sum(checks)} of {len(checks)} checks were right", flush=True)
+    print(f"\n{sum(checks)} of {len(checks)} checks passed", flush=True)
     return 0 if good else 1
 
 
--- a/examples/fold_a_change.py
+++ b/examples/fold_a_change.py
@@ -1,4 +1,8 @@
-"""Embed the fold: two operators race, and the first in the log wins everywhere."""
+"""Use the fold of configuration changes as a library.
+
+Two operators change the same template. The change that is first in the log comes into
+force at every node.
+"""
 
 from poplarrelay.identifiers import Offset
 from poplarrelay.messages.records import ChangeRecord
@@ -14,13 +18,13 @@
 
 
 def change(record: str, max_running: int, after: int | None) -> ChangeRecord:
-    """Return a change of the template."""
+    """Return the record of a change that expects offset `after` to be in force."""
     body = {**TEMPLATE, "limits": {"max_running": max_running}}
     return ChangeRecord(id=record, subject="template/shared", after=after, body=body)
 
 
 def main() -> None:
-    """Fold four records and print what became of each."""
+    """Fold four records and print whether each one comes into force."""
     records = [
         change("first", 10, None),
         change("anna", 20, 0),
--- a/examples/plan_hosts.py
+++ b/examples/plan_hosts.py
@@ -1,4 +1,4 @@
-"""Embed the capacity decision: what to start for a demand, and what when refused."""
+"""Use the capacity decision as a library: hosts to start for a demand."""
 
 from poplarrelay.configuration.schema import CapacityPolicy
 from poplarrelay.identifiers import DomainId
@@ -21,14 +21,14 @@
 
 
 def show(demand: Demand, refused: frozenset[tuple[DomainId, str]]) -> None:
-    """Print the plan."""
+    """Print the starts that are planned when some offers are refused."""
     plan = plan_capacity(POLICY, [], demand, DOMAINS, refused)
     names = [f"{offer.machine_class} in {domain}" for domain, offer in plan.starts]
     print(f"start {', '.join(names)}")
 
 
 def main() -> None:
-    """Plan twice: with all offers, and with the cheap ones refused."""
+    """Plan with all offers, then with the cheap offers refused."""
     demand = Demand(total=20.0, urgent=5.0)
     show(demand, frozenset())
     show(demand, frozenset((domain, "spot") for domain in DOMAINS))
--- a/poplarrelay/cli.py
+++ b/poplarrelay/cli.py
@@ -1,4 +1,4 @@
-"""The command line of poplarrelay."""
+"""Define the command line of poplarrelay and start its commands."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from poplarrelay.commands.config import config_app, template_app
 from poplarrelay.commands.explain import explain
 from poplarrelay.commands.losses import losses
-from poplarrelay.commands.operators import Operator
+from poplarrelay.commands.operators import OperatorClient
 from poplarrelay.commands.output import ExitCode, fail, print_json, print_lines
 from poplarrelay.commands.replay import replay, trace_app
 from poplarrelay.commands.soak import soak_command
@@ -43,7 +43,7 @@
 
 @app.command
 def node(*, settings: Path) -> None:
-    """Run a node until it is told to leave.
+    """Run a node until it receives a signal to leave.
 
     Parameters
     ----------
@@ -55,28 +55,28 @@
     from poplarrelay.settings import NodeSettings
 
     try:
-        checked = NodeSettings.from_file(settings)
+        node_settings = NodeSettings.from_file(settings)
     except SettingsError as error:
         fail(ExitCode.CONFIGURATION, *(str(fault) for fault in error.faults))
-    listener = start_logging(checked.node, checked.log_level)
-    running = Node.from_settings(checked)
-    running.install_signals()
+    listener = start_logging(node_settings.node, node_settings.log_level)
+    running_node = Node.from_settings(node_settings)
+    running_node.install_signals()
     try:
-        running.start()
+        running_node.start()
     except OSError as error:
         listener.stop()
         fail(ExitCode.UNREACHABLE, f"cannot listen: {error}")
-    code = running.wait()
+    code = running_node.wait()
     listener.stop()
     sys.stdout.flush()
-    # The interpreter's own end waits for threads whose requests hang, without bound.
-    # All that may still be written has been; nothing else of the node must last.
+    # A normal interpreter exit waits without a time limit for threads whose requests
+    # hang. All output is flushed at this point, so an immediate exit loses nothing.
     os._exit(code)
 
 
 @app.command
 def entry(*, settings: Path) -> None:
-    """Run an entry node on an operator's platform until it is told to leave.
+    """Run an entry node on an operator's platform until it receives a leave signal.
 
     Parameters
     ----------
@@ -91,32 +91,34 @@
 @app.command
 def status(
     *,
-    node: Annotated[str, Parameter(help="Address of a node's second listener.")],
+    node: Annotated[
+        str, Parameter(help="Address at which a node serves peers and operators.")
+    ],
     json: Json = False,
 ) -> None:
-    """Tell a node's view of itself, the other nodes and the endpoints."""
-    seen = Operator(node).get("/status")
+    """Print a node's view of itself, the other nodes and the endpoints."""
+    node_status = OperatorClient(node).get("/status")
     if json:
-        print_json(seen)
+        print_json(node_status)
         return
     lines = [
-        f"node {seen['node']}  {seen['phase']}  "
-        f"{'ready' if seen['ready'] else 'not ready'}  "
-        f"domain {seen['failure_domain']}  "
-        f"log {'available' if seen['log_available'] else 'unavailable'}",
+        f"node {node_status['node']}  {node_status['phase']}  "
+        f"{'ready' if node_status['ready'] else 'not ready'}  "
+        f"domain {node_status['failure_domain']}  "
+        f"log {'available' if node_status['log_available'] else 'unavailable'}",
     ]
-    for name, member in sorted(seen["members"].items()):
+    for name, member in sorted(node_status["members"].items()):
         ready = "ready" if member["ready"] else "not ready"
         lines.append(
             f"peer {name}  {member['status']}  {ready}  "
             f"domain {member['failure_domain']}"
         )
-    for name, endpoint in sorted(seen["endpoints"].items()):
+    for name, endpoint in sorted(node_status["endpoints"].items()):
         lines.append(
             f"endpoint {name}  {endpoint['state']}  "
             f"domain {endpoint['failure_domain']}  running {endpoint['running']}"
         )
-    counts = "  ".join(f"{k} {v}" for k, v in seen["requests"].items() if v)
+    counts = "  ".join(f"{k} {v}" for k, v in node_status["requests"].items() if v)
     lines.append(f"requests  {counts or 'none'}")
     print_lines(lines)
 
--- a/poplarrelay/commands/call.py
+++ b/poplarrelay/commands/call.py
@@ -1,4 +1,4 @@
-"""``poplarrelay call``: make requests as a caller."""
+"""``poplarrelay call``: send requests as a caller."""
 
 from __future__ import annotations
 
@@ -24,22 +24,23 @@
 #: Environment variable that holds the team's token.
 TOKEN_VARIABLE = "POPLARRELAY_TOKEN"
 
-call_app = App(name="call", help="Make a request as a caller.")
+call_app = App(name="call", help="Send a request as a caller.")
 
 Address = Annotated[
-    str, Parameter(help="Callers' address of any node; several with commas.")
+    str,
+    Parameter(help="Address for callers at any node; separate several with commas."),
 ]
 Json = Annotated[bool, Parameter(name="--json", help="Print JSON.", negative="")]
 
 
-def _client(address: str) -> CallerClient:
+def _caller_client(address: str) -> CallerClient:
     token = os.environ.get(TOKEN_VARIABLE)
     if not token:
-        fail(ExitCode.USAGE, f"set the team's token in {TOKEN_VARIABLE}")
+        fail(ExitCode.USAGE, f"the team's token is missing: set {TOKEN_VARIABLE}")
     return CallerClient(tuple(address.split(",")), token)
 
 
-def _failed(failure: ClientError) -> None:
+def _exit_for_error(failure: ClientError) -> None:
     if isinstance(failure, RequestRefused):
         code, text = ExitCode.REFUSED, "refused"
     elif isinstance(failure, AnswerNotRun):
@@ -61,14 +62,14 @@
     request_class: str = "standard",
     json: Json = False,
 ) -> None:
-    """Ask for a completion and print it as it comes.
+    """Request a completion and print its text as it arrives.
 
     Parameters
     ----------
     prompt
-        The prompt.
+        Text of the prompt.
     """
-    client, result = _client(address), CompletionResult()
+    client, result = _caller_client(address), CompletionResult()
     try:
         for text in client.stream(
             model, prompt, max_tokens, timeout_s, request_class, result
@@ -77,7 +78,7 @@
                 print(text, end="")
                 sys.stdout.flush()
     except ClientError as failure:
-        _failed(failure)
+        _exit_for_error(failure)
     print_json(asdict(result)) if json else print()
 
 
@@ -93,23 +94,23 @@
     timeout_s: float = 10.0,
     json: Json = False,
 ) -> None:
-    """Call a plain service; at most once unless the method may be repeated.
+    """Call a service; it runs the call at most once unless the method is repeatable.
 
     Parameters
     ----------
     name
-        The service.
+        Name of the service.
     path
-        Path within it.
+        Path of the call within the service.
     key
-        Idempotency key; without one a ticket is used.
+        Idempotency key; without a key, a ticket identifies the call.
     """
     try:
-        result = _client(address).call_service(
+        result = _caller_client(address).call_service(
             name, path, body.encode() or None, method, timeout_s, key
         )
     except ClientError as failure:
-        _failed(failure)
+        _exit_for_error(failure)
         return
     text = result.body.decode("utf-8", "replace")
     if json:
@@ -120,21 +121,21 @@
 
 @call_app.command
 def defer(url: str, body: str, *, address: Address, json: Json = False) -> None:
-    """Leave a request with the system and print its id.
+    """Defer a request: the system runs it later. Print the request's id.
 
     Parameters
     ----------
     url
-        Such as ``/v1/completions``.
+        Path of the request, such as ``/v1/completions``.
     body
-        JSON body of the call.
+        JSON body of the request.
     """
     try:
-        result = _client(address).defer(url, orjson.loads(body))
+        result = _caller_client(address).defer(url, orjson.loads(body))
     except orjson.JSONDecodeError as error:
         fail(ExitCode.USAGE, f"the body is not JSON: {error}")
     except ClientError as failure:
-        _failed(failure)
+        _exit_for_error(failure)
         return
     print_json(result.document) if json else print(result.id)
 
@@ -143,19 +144,21 @@
 def fetch(
     request: str, *, address: Address, wait_s: float = 0.0, json: Json = False
 ) -> None:
-    """Print where a deferred request stands.
+    """Print the state of a deferred request.
 
     Parameters
     ----------
     request
-        Its id.
+        Id of the request.
     wait_s
-        Seconds to wait for its end.
+        Longest time to wait until the request ends, in seconds.
     """
-    client = _client(address)
+    client = _caller_client(address)
     try:
-        found = client.wait_for(request, wait_s) if wait_s else client.fetch(request)
+        deferred_request = (
+            client.wait_for(request, wait_s) if wait_s else client.fetch(request)
+        )
     except ClientError as failure:
-        _failed(failure)
+        _exit_for_error(failure)
         return
-    print_json(found.document) if json else print(found.status)
+    print_json(deferred_request.document) if json else print(deferred_request.status)
--- a/poplarrelay/commands/config.py
+++ b/poplarrelay/commands/config.py
@@ -8,7 +8,7 @@
 
 from cyclopts import App, Parameter
 
-from poplarrelay.commands.operators import Operator
+from poplarrelay.commands.operators import OperatorClient
 from poplarrelay.commands.output import ExitCode, fail, print_json, print_lines
 from poplarrelay.configuration.resolve import check_file
 from poplarrelay.configuration.schema import ConfigurationFile
@@ -19,27 +19,37 @@
 
 __all__ = ["config_app", "template_app"]
 
-config_app = App(name="config", help="Check, publish and follow the configuration.")
+config_app = App(
+    name="config", help="Check and publish the configuration, and show its state."
+)
 template_app = App(name="template", help="Publish templates.")
 
-Node = Annotated[str, Parameter(help="Address of a node's second listener.")]
+Node = Annotated[
+    str, Parameter(help="Address at which a node serves peers and operators.")
+]
 Json = Annotated[bool, Parameter(name="--json", help="Print JSON.", negative="")]
 
 
-def _read(path: Path) -> ConfigurationFile:
-    """Read a configuration file, or the configuration within a site file."""
+def _read_configuration(path: Path) -> ConfigurationFile:
+    """Return the configuration in a configuration file or a site file.
+
+    If the file is neither, end the process with the shorter of the two fault lists.
+    """
     try:
         return ConfigurationFile.from_file(path)
     except SettingsError as error:
         try:
             return Site.from_file(path).configuration
         except SettingsError as site_error:
-            best = min(error, site_error, key=lambda each: len(each.faults))
-            fail(ExitCode.CONFIGURATION, *(str(fault) for fault in best.faults))
+            reported = min(error, site_error, key=lambda each: len(each.faults))
+            fail(
+                ExitCode.CONFIGURATION,
+                *(str(fault) for fault in reported.faults),
+            )
 
 
-def _checked(path: Path) -> ConfigurationFile:
-    file = _read(path)
+def _read_valid_configuration(path: Path) -> ConfigurationFile:
+    file = _read_configuration(path)
     faults = check_file(file)
     if faults:
         fail(ExitCode.CONFIGURATION, *(str(fault) for fault in faults))
@@ -58,24 +68,24 @@
     ] = False,
     json: Json = False,
 ) -> None:
-    """Check a configuration, site or settings file, and tell every fault.
+    """Check a configuration, site or settings file and report every fault.
 
     Parameters
     ----------
     path
-        The file.
+        File to check.
     """
     if settings or entry:
         try:
-            found: EntrySettings | NodeSettings = (
+            node_settings: EntrySettings | NodeSettings = (
                 EntrySettings.from_file(path) if entry else NodeSettings.from_file(path)
             )
         except SettingsError as error:
             fail(ExitCode.CONFIGURATION, *(str(fault) for fault in error.faults))
-        text = f"{path}: settings of node {found.node} are valid"
+        text = f"{path}: settings of node {node_settings.node} are valid"
         print_json({"valid": True}) if json else print(text)
         return
-    file = _checked(path)
+    file = _read_valid_configuration(path)
     counts = {
         "templates": len(file.templates),
         "deployments": len(file.deployments),
@@ -99,7 +109,7 @@
     return templates + deployments
 
 
-_CODES = {
+_EXIT_CODES = {
     409: ExitCode.REFUSED,
     422: ExitCode.CONFIGURATION,
     503: ExitCode.UNREACHABLE,
@@ -108,7 +118,10 @@
 
 
 def _publish(
-    operator: Operator, changes: list[tuple[str, Any]], after: int | None, json: bool
+    operator: OperatorClient,
+    changes: list[tuple[str, Any]],
+    after: int | None,
+    json: bool,
 ) -> None:
     results: list[dict[str, Any]] = []
     for number, (subject, body) in enumerate(changes, 1):
@@ -118,7 +131,7 @@
         if not reply.ok:
             if json:
                 print_json({"published": results})
-            code = _CODES.get(reply.status, ExitCode.FAILED)
+            code = _EXIT_CODES.get(reply.status, ExitCode.FAILED)
             fail(code, f"{subject}: {value.get('detail', reply.status)}")
         if not json:
             offset = value.get("offset")
@@ -134,21 +147,22 @@
     *,
     node: Node,
     after: Annotated[
-        int | None, Parameter(help="Offset that must be in force, for one change.")
+        int | None,
+        Parameter(help="Publish a single change only if this offset is in force."),
     ] = None,
     json: Json = False,
 ) -> None:
-    """Publish all templates and deployments of a file.
+    """Publish all templates and deployments in a file.
 
     Parameters
     ----------
     path
         A configuration or site file.
     """
-    changes = _changes(_checked(path))
+    changes = _changes(_read_valid_configuration(path))
     if after is not None and len(changes) != 1:
-        fail(ExitCode.USAGE, "--after goes with a file that holds one change")
-    _publish(Operator(node), changes, after, json)
+        fail(ExitCode.USAGE, "--after requires a file with exactly one change")
+    _publish(OperatorClient(node), changes, after, json)
 
 
 @config_app.command
@@ -158,38 +172,41 @@
     Parameters
     ----------
     subject
-        Such as ``deployment/registry``.
+        Name of the template or deployment, such as ``deployment/registry``.
     """
-    _publish(Operator(node), [(subject, None)], None, json)
+    _publish(OperatorClient(node), [(subject, None)], None, json)
 
 
 @config_app.command
 def status(*, node: Node, json: Json = False) -> None:
-    """Tell what is in force, and how far each node has come."""
-    seen = Operator(node).get("/status")
-    nodes = {seen["node"]: seen["configuration_next"]}
-    nodes.update(
+    """Print the configuration in force and the log offset that each node reached."""
+    node_status = OperatorClient(node).get("/status")
+    next_offsets = {node_status["node"]: node_status["configuration_next"]}
+    next_offsets.update(
         {
             name: member["configuration_next"]
-            for name, member in seen["members"].items()
+            for name, member in node_status["members"].items()
             if member["status"] in ("alive", "leaving", "suspect")
         }
     )
     if json:
-        print_json({"in_force": seen["in_force"], "nodes": nodes})
+        print_json({"in_force": node_status["in_force"], "nodes": next_offsets})
         return
-    newest = max(nodes.values())
-    lines = [f"{s}  offset {o}" for s, o in sorted(seen["in_force"].items())]
-    for name, following in sorted(nodes.items()):
-        state = "current" if following == newest else f"{newest - following} behind"
-        lines.append(f"node {name}  folded up to {following}  {state}")
+    newest = max(next_offsets.values())
+    lines = [
+        f"{subject}  offset {offset}"
+        for subject, offset in sorted(node_status["in_force"].items())
+    ]
+    for name, next_offset in sorted(next_offsets.items()):
+        state = "current" if next_offset == newest else f"{newest - next_offset} behind"
+        lines.append(f"node {name}  folded up to {next_offset}  {state}")
     print_lines(lines)
 
 
 @config_app.command
 def history(*, node: Node, json: Json = False) -> None:
-    """Tell the newest changes and which of them came into force."""
-    changes = Operator(node).get("/operator/history")["changes"]
+    """Print the newest changes and whether each one came into force."""
+    changes = OperatorClient(node).get("/operator/history")["changes"]
     if json:
         print_json({"changes": changes})
         return
@@ -206,15 +223,15 @@
 
 @template_app.command(name="publish")
 def publish_template(path: Path, *, node: Node, json: Json = False) -> None:
-    """Publish the templates of a file, and none of its deployments.
+    """Publish the templates in a file but not its deployments.
 
     Parameters
     ----------
     path
         A configuration or site file.
     """
-    file = _checked(path)
+    file = _read_valid_configuration(path)
     changes = [c for c in _changes(file) if c[0].startswith("template/")]
     if not changes:
-        fail(ExitCode.CONFIGURATION, f"{path} holds no template")
-    _publish(Operator(node), changes, None, json)
+        fail(ExitCode.CONFIGURATION, f"{path} contains no template")
+    _publish(OperatorClient(node), changes, None, json)
--- a/poplarrelay/commands/explain.py
+++ b/poplarrelay/commands/explain.py
@@ -1,4 +1,4 @@
-"""``poplarrelay explain``: the way of one request, from the nodes' log lines."""
+"""``poplarrelay explain``: the history of one request, from the nodes' log lines."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 __all__ = ["Explanation", "explain", "explain_request", "read_lines", "read_logs"]
 
-#: Messages that tell what a node believed, and by what they matter to a request:
-#: those of its endpoints, or those of the whole node.
-ENDPOINT_BELIEFS = ("endpoint", "endpoint avoided")
-#: Those of requests with the same fingerprint.
-REQUEST_BELIEFS = ("request blocked", "request unblocked")
-NODE_BELIEFS = (
+#: Messages about the state of one endpoint. They concern a request that used it.
+ENDPOINT_STATE_MESSAGES = ("endpoint", "endpoint avoided")
+#: Messages about requests with one fingerprint. They concern a request that has it.
+FINGERPRINT_STATE_MESSAGES = ("request blocked", "request unblocked")
+#: Messages about the state of a node. They concern all its requests.
+NODE_STATE_MESSAGES = (
     "configuration in force",
     "dependency lost",
     "dependency regained",
@@ -28,49 +28,55 @@
     "started",
     "stopping",
 )
-#: Fields that every line has, or that the heading tells.
-COMMON = ("time", "level", "logger", "message", "node", "request")
+#: Fields left out of the printed values: they are in every line or in the heading.
+OMITTED_FIELDS = ("time", "level", "logger", "message", "node", "request")
 
 
 @dataclass(slots=True)
 class Explanation:
-    """What the logs tell of one request.
+    """Log lines about one request and the node state that applied to it.
 
     Attributes
     ----------
     lines : list
-        Its own lines, in the order in which they were written.
-    beliefs : list
-        The last line of each belief that its node had before its end.
+        Log lines of the request, in the order in which they were written.
+    known_state : list
+        Per kind and subject, the last line that the node logged before the last line
+        of the request.
     """
 
     request: str
     lines: list[dict[str, Any]] = field(default_factory=list)
-    beliefs: list[dict[str, Any]] = field(default_factory=list)
+    known_state: list[dict[str, Any]] = field(default_factory=list)
 
     def text(self) -> list[str]:
         """Return the lines to print."""
         if not self.lines:
             return [f"no line tells of request {self.request}"]
         node = self.lines[0].get("node", "?")
-        told = [f"request {self.request} at node {node}", "what the node believed:"]
-        told += [f"  {_line(line)}" for line in self.beliefs] or ["  nothing is told"]
-        told.append("what became of the request:")
-        told += [f"  {_line(line)}" for line in self.lines]
-        return told
-
-
-def _line(line: dict[str, Any]) -> str:
+        text_lines = [
+            f"request {self.request} at node {node}",
+            "state known to the node:",
+        ]
+        text_lines += [f"  {_format_line(line)}" for line in self.known_state] or [
+            "  nothing is logged"
+        ]
+        text_lines.append("what happened to the request:")
+        text_lines += [f"  {_format_line(line)}" for line in self.lines]
+        return text_lines
+
+
+def _format_line(line: dict[str, Any]) -> str:
     values = [
         f"{name}={value}"
         for name, value in line.items()
-        if name not in COMMON and value not in (None, "")
+        if name not in OMITTED_FIELDS and value not in (None, "")
     ]
     return f"{line.get('time', '')}  {line.get('message', '')}: {' '.join(values)}"
 
 
 def read_lines(content: Iterable[bytes]) -> Iterator[dict[str, Any]]:
-    """Return the log lines in a text; what stands before a line's object is skipped.
+    """Yield the log lines in a text, without the text before each JSON object.
 
     Examples
     --------
@@ -84,16 +90,16 @@
         try:
             value = orjson.loads(raw[start:])
         except orjson.JSONDecodeError:
-            # Other programs' lines may stand between; they are not ours to judge.
+            # The text can contain lines of other programs.
             continue
         if isinstance(value, dict) and "message" in value:
             yield value
 
 
 def read_logs(logs: Sequence[Path]) -> Iterator[dict[str, Any]]:
-    """Return the log lines in files, or on standard input if there are none.
+    """Return the log lines in files, or on standard input if no file is given.
 
-    A file that cannot be read ends the command with an exit code.
+    If a file cannot be read, end the process with `ExitCode.USAGE`.
     """
     try:
         content = [line for log in logs for line in log.read_bytes().splitlines()]
@@ -103,54 +109,56 @@
 
 
 def explain_request(request: str, lines: Iterable[dict[str, Any]]) -> Explanation:
-    """Return what log lines tell of a request.
+    """Return what log lines contain about a request.
 
     Parameters
     ----------
     request : str
         The caller's id of the request.
     lines : iterable of dict
-        Log lines of any number of nodes, each node's in order.
+        Log lines of any number of nodes. The lines of one node are in order.
 
     Notes
     -----
-    One pass over the lines; what is kept grows with the nodes and endpoints, not
-    with the lines.
+    The lines are read once. Memory use grows with the number of nodes, endpoints and
+    fingerprints, not with the number of lines.
     """
-    found = Explanation(request)
-    known: dict[tuple[str, str, str], dict[str, Any]] = {}
-    last: dict[tuple[str, str, str], dict[str, Any]] = {}
+    explanation = Explanation(request)
+    latest: dict[tuple[str, str, str], dict[str, Any]] = {}
+    latest_before_end: dict[tuple[str, str, str], dict[str, Any]] = {}
     for line in lines:
         node = str(line.get("node", ""))
         message = str(line["message"])
         if line.get("request") == request:
-            found.lines.append(line)
-            last = {key: value for key, value in known.items() if key[0] == node}
-        elif message in ENDPOINT_BELIEFS:
-            known[node, message, str(line.get("endpoint"))] = line
-        elif message in REQUEST_BELIEFS:
-            known[node, message, str(line.get("fingerprint"))] = line
-        elif message in NODE_BELIEFS:
-            known[node, message, str(line.get("dependency", ""))] = line
-    subjects = {line.get("endpoint") for line in found.lines}
-    subjects |= {line.get("fingerprint") for line in found.lines}
-    found.beliefs = [
+            explanation.lines.append(line)
+            latest_before_end = {
+                key: value for key, value in latest.items() if key[0] == node
+            }
+        elif message in ENDPOINT_STATE_MESSAGES:
+            latest[node, message, str(line.get("endpoint"))] = line
+        elif message in FINGERPRINT_STATE_MESSAGES:
+            latest[node, message, str(line.get("fingerprint"))] = line
+        elif message in NODE_STATE_MESSAGES:
+            latest[node, message, str(line.get("dependency", ""))] = line
+    subjects = {line.get("endpoint") for line in explanation.lines}
+    subjects |= {line.get("fingerprint") for line in explanation.lines}
+    explanation.known_state = [
         line
-        for (_, message, subject), line in last.items()
-        if message in NODE_BELIEFS or subject in subjects
+        for (_, message, subject), line in latest_before_end.items()
+        if message in NODE_STATE_MESSAGES or subject in subjects
     ]
-    return found
+    return explanation
 
 
 def explain(request: str, *logs: Path) -> None:
-    """Tell a request's way and what its node believed, from log lines.
+    """Print the history of a request and the state known to its node, from log lines.
 
     Parameters
     ----------
     request
         The caller's id of the request.
     logs
-        Files with the nodes' log lines; standard input if there are none.
+        Files with log lines of nodes. Without files, read standard input.
     """
     explanation = explain_request(request, read_logs(logs))
     print_lines(explanation.text())
--- a/poplarrelay/commands/losses.py
+++ b/poplarrelay/commands/losses.py
@@ -1,4 +1,4 @@
-"""``poplarrelay losses``: what callers lost, and to what, from the nodes' log lines."""
+"""``poplarrelay losses``: late and failed requests by cause, from nodes' log lines."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 __all__ = ["Cause", "Losses", "count_losses", "losses"]
 
-#: Part of its target that a prompt's own reading takes from which it is late by its
-#: length, wherever it goes.
-OWN_SHARE = 0.85
+#: Share of the latency target. A prompt whose own prefill takes more than this is late
+#: because of its length, at any endpoint.
+OWN_PREFILL_SHARE = 0.85
 
 
 class Cause(Enum):
     """Why a request was not answered in time."""
 
-    LENGTH = "late: its own prompt takes its target"
-    LINE = "late: behind the prompts in line, as forecast"
-    SURPRISE = "late: at the engine, though forecast in time"
+    OWN_PREFILL = "late: its own prompt takes its target"
+    QUEUE = "late: behind the prompts in line, as forecast"
+    SLOWER_THAN_FORECAST = "late: at the engine, though forecast in time"
     RETRIED = "late: after an attempt that failed"
-    PLAIN = "late: a plain call"
+    SERVICE_CALL = "late: a plain call"
     OVER_QUOTA = "refused: the team's quota is used up"
     FULL = "refused: no place, or too long a line"
     NO_ENDPOINT = "refused: no endpoint is known"
@@ -40,10 +40,11 @@
     CALLER_LEFT = "the caller left"
 
 
-#: Statuses of requests that the configuration does not allow: nothing is lost.
-_DENIED = (401, 404)
-#: What the line of a request says of its outcome, by status where that tells enough.
-_BY_OUTCOME = {
+#: HTTP statuses of requests that the configuration does not allow. They are not losses.
+_DENIED_STATUSES = (401, 404)
+#: Cause by the outcome in the log line of a request. `_cause` handles the statuses and
+#: outcomes that are not listed.
+_CAUSE_BY_OUTCOME = {
     RefusalReason.FULL.value: Cause.FULL,
     RefusalReason.BEHIND.value: Cause.FULL,
     RefusalReason.LIMITED.value: Cause.FULL,
@@ -59,16 +60,16 @@
 
 @dataclass(slots=True)
 class Losses:
-    """Requests by what became of them.
+    """Counts of requests that were in time, late or failed.
 
     Attributes
     ----------
     causes : Counter of Cause
-        Requests that were not answered in time.
+        Number of requests that were not answered in time.
     tokens : Counter of Cause
-        The tokens that they asked for.
+        Number of tokens that these requests asked for.
     total, in_time : int
-        All requests, and those that were answered in time.
+        Number of all requests, and of those that were answered in time.
     """
 
     total: int = 0
@@ -80,76 +81,80 @@
         """Return the lines to print."""
         if not self.total:
             return ["no line tells of a request"]
-        share = 100 * self.in_time / self.total
-        told = [f"{self.total} requests, {self.in_time} in time ({share:.1f} in 100)"]
+        percent = 100 * self.in_time / self.total
+        text_lines = [
+            f"{self.total} requests, {self.in_time} in time ({percent:.1f} in 100)"
+        ]
         for cause, number in self.causes.most_common():
-            part = 100 * number / self.total
+            cause_percent = 100 * number / self.total
             tokens = self.tokens[cause]
-            told.append(f"{number:7} {part:5.1f}%  {tokens:11} tokens  {cause.value}")
-        return told
+            text_lines.append(
+                f"{number:7} {cause_percent:5.1f}%  {tokens:11} tokens  {cause.value}"
+            )
+        return text_lines
 
 
 def count_losses(lines: Iterable[dict[str, Any]]) -> Losses:
-    """Return what became of the requests that log lines tell of.
+    """Return counts of the requests in log lines, by cause of loss.
 
     Parameters
     ----------
     lines : iterable of dict
-        Log lines of any number of nodes, each node's in order.
+        Log lines of any number of nodes. The lines of one node are in order.
     """
-    found = Losses()
+    result = Losses()
     attempts: defaultdict[str, list[dict[str, Any]]] = defaultdict(list)
     for line in lines:
         if line["message"] == "attempt":
             attempts[str(line["request"])].append(line)
         elif line["message"] in ("request", "refused"):
-            if line["status"] in _DENIED:
+            if line["status"] in _DENIED_STATUSES:
                 continue
             cause = _cause(line, attempts.pop(str(line["request"]), []))
-            found.total += 1
+            result.total += 1
             if cause is None:
-                found.in_time += 1
+                result.in_time += 1
                 continue
-            found.causes[cause] += 1
-            found.tokens[cause] += int(line.get("tokens", 0))
-    return found
+            result.causes[cause] += 1
+            result.tokens[cause] += int(line.get("tokens", 0))
+    return result
 
 
 def _cause(line: dict[str, Any], attempts: list[dict[str, Any]]) -> Cause | None:
-    """Return why a request was not answered in time, None if it was."""
+    """Return why a request was not answered in time, or None if it was."""
     status, outcome = line["status"], str(line.get("outcome") or line.get("why"))
     if 200 <= status < 300:
         took_ms = line.get("first_event_ms", line["took_ms"])
         in_time = took_ms <= line.get("target_ms", float("inf"))
-        return None if in_time else _why_late(line, attempts)
+        return None if in_time else _cause_of_lateness(line, attempts)
     if outcome.startswith("broken off"):
         return Cause.BROKEN_OFF
     if status == 429:
         return Cause.OVER_QUOTA
-    return _BY_OUTCOME.get(outcome, Cause.UNKNOWN)
+    return _CAUSE_BY_OUTCOME.get(outcome, Cause.UNKNOWN)
 
 
-def _why_late(line: dict[str, Any], attempts: list[dict[str, Any]]) -> Cause:
+def _cause_of_lateness(line: dict[str, Any], attempts: list[dict[str, Any]]) -> Cause:
     if "first_event_ms" not in line:
-        return Cause.PLAIN
+        return Cause.SERVICE_CALL
     if len(attempts) > 1:
         return Cause.RETRIED
     due_ms = sum(attempt.get("due_ms") or 0.0 for attempt in attempts)
     ahead_ms = sum(attempt.get("ahead_ms") or 0.0 for attempt in attempts)
-    if due_ms - ahead_ms > OWN_SHARE * line["target_ms"]:
-        return Cause.LENGTH
-    return Cause.LINE if due_ms > line["target_ms"] else Cause.SURPRISE
+    if due_ms - ahead_ms > OWN_PREFILL_SHARE * line["target_ms"]:
+        return Cause.OWN_PREFILL
+    return Cause.QUEUE if due_ms > line["target_ms"] else Cause.SLOWER_THAN_FORECAST
 
 
 def losses(*logs: Path) -> None:
-    """Tell how many requests were not answered in time, and why, from log lines.
+    """Print how many requests were not answered in time, by cause, from log lines.
 
     Parameters
     ----------
     logs
-        Files with the nodes' log lines; standard input if there are none.
+        Files with log lines of nodes. Without files, read standard input.
     """
-    found = count_losses(read_logs(logs))
-    print_lines(found.text())
-    if not found.total:
+    result = count_losses(read_logs(logs))
+    print_lines(result.text())
+    if not result.total:
         raise SystemExit(int(ExitCode.FAILED))
--- a/poplarrelay/commands/output.py
+++ b/poplarrelay/commands/output.py
@@ -1,4 +1,4 @@
-"""Print results for people and for programs, and end with an exit code."""
+"""Print results as text or JSON, and end the process with an exit code."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the commands; 64 and above as in sysexits."""
+    """Exit codes of the commands; codes from 64 up follow ``sysexits.h``."""
 
     OK = 0
     FAILED = 1
@@ -24,13 +24,13 @@
 
 
 def print_json(value: Any) -> None:
-    """Print JSON for a program."""
+    """Print a value as indented JSON."""
     sys.stdout.buffer.write(orjson.dumps(value, option=orjson.OPT_INDENT_2) + b"\n")
     sys.stdout.flush()
 
 
 def print_lines(lines: list[str]) -> None:
-    """Print lines for a person."""
+    """Print lines of text."""
     for line in lines:
         print(line)
 
--- a/poplarrelay/commands/replay.py
+++ b/poplarrelay/commands/replay.py
@@ -21,17 +21,17 @@
 
 __all__ = ["replay", "trace_app"]
 
-trace_app = App(name="trace", help="Make and check traces.")
+trace_app = App(name="trace", help="Generate and check traces.")
 
 Json = Annotated[bool, Parameter(name="--json", help="Print JSON.", negative="")]
 
 
-def _show(done: int, total: int) -> None:
+def _show_progress(done: int, total: int) -> None:
     if sys.stderr.isatty() or done == total or done % 100 == 0:
         print(f"\r{done}/{total} requests", end="", file=sys.stderr, flush=True)
 
 
-def _lines(evaluation: ReplayEvaluation) -> list[str]:
+def _summary_lines(evaluation: ReplayEvaluation) -> list[str]:
     lines = [f"{evaluation.name}: {evaluation.requests} requests"]
     for name, figures in evaluation.classes.items():
         lines.append(
@@ -47,9 +47,9 @@
         f"recomputed tokens: {evaluation.recomputed_moving} moving or resuming, "
         f"{evaluation.recomputed_missing_cache} missing a cache"
     )
-    for broken in evaluation.broken:
+    for missed in evaluation.broken:
         lines.append(
-            f"BROKEN {broken.outcome}: stated {broken.stated}, found {broken.found}"
+            f"BROKEN {missed.outcome}: stated {missed.stated}, found {missed.found}"
         )
     return lines
 
@@ -62,50 +62,50 @@
     report: Path | None = None,
     json: Json = False,
 ) -> None:
-    """Replay a trace against running nodes and judge its stated outcomes.
+    """Replay a trace against running nodes and check the outcomes that it states.
 
     Parameters
     ----------
     trace
-        JSON lines.
+        File with the trace, as JSON lines.
     target
         JSON file with the addresses and tokens of the running system.
     scale
-        Seconds of the replay for one second of the trace.
+        Seconds of the replay per second of the trace.
     report
-        Where to write an HTML page.
+        File to write an HTML report to.
     """
     try:
-        read = read_trace(trace)
-        where = load_json_file(ReplayTarget, target)
+        loaded = read_trace(trace)
+        running_system = load_json_file(ReplayTarget, target)
     except SettingsError as error:
         fail(ExitCode.CONFIGURATION, *(str(fault) for fault in error.faults))
-    done = run_replay(read, where, scale, _show)
+    completed = run_replay(loaded, running_system, scale, _show_progress)
     print(file=sys.stderr)
-    evaluation = evaluate_replay(done)
+    evaluation = evaluate_replay(completed)
     if report is not None:
-        report.write_text(report_html(evaluation, done))
+        report.write_text(report_html(evaluation, completed))
     if json:
         sys.stdout.buffer.write(report_json(evaluation) + b"\n")
     else:
-        print_lines(_lines(evaluation))
+        print_lines(_summary_lines(evaluation))
     raise SystemExit(int(ExitCode.OK if evaluation.good else ExitCode.FAILED))
 
 
 @trace_app.command
 def check(trace: Path) -> None:
-    """Check a trace and tell every fault.
+    """Check a trace and report every fault.
 
     Parameters
     ----------
     trace
-        JSON lines.
+        File with the trace, as JSON lines.
     """
     try:
-        read = read_trace(trace)
+        loaded = read_trace(trace)
     except SettingsError as error:
         fail(ExitCode.CONFIGURATION, *(str(fault) for fault in error.faults))
-    print(f"{trace}: {len(read.requests)} requests, {len(read.events)} events")
+    print(f"{trace}: {len(loaded.requests)} requests, {len(loaded.events)} events")
 
 
 @trace_app.command
@@ -118,19 +118,19 @@
     seconds: float = 60.0,
     rate: float = 10.0,
 ) -> None:
-    """Make a trace of a shortened day.
+    """Generate a trace of a simulated, shortened day.
 
     Parameters
     ----------
     site
-        Site file whose teams and endpoints are used.
+        Site file with the teams and endpoints to use.
     trace
-        Where to write it.
+        File to write the trace to.
     rate
-        Requests a second at noon.
+        Requests per second at noon.
     """
     try:
-        read = Site.from_file(site)
+        loaded = Site.from_file(site)
     except SettingsError as error:
         fail(ExitCode.CONFIGURATION, *(str(fault) for fault in error.faults))
-    write_trace(trace, generate_trace(read, day, seed, seconds, rate))
+    write_trace(trace, generate_trace(loaded, day, seed, seconds, rate))
--- a/poplarrelay/commands/soak.py
+++ b/poplarrelay/commands/soak.py
@@ -1,4 +1,4 @@
-"""``poplarrelay soak``: real node processes under random faults."""
+"""``poplarrelay soak``: run node processes under random faults."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds that a text like ``3,8-10`` names.
+    """Return the seeds in a text such as ``3,8-10``.
 
     Raises
     ------
     ValueError
-        If it is no such text.
+        If a part of the text is neither a number nor a range of numbers.
 
     Examples
     --------
@@ -36,7 +36,7 @@
     return seeds
 
 
-def _print(report: SoakReport) -> None:
+def _print_report(report: SoakReport) -> None:
     verdict = "passed" if report.passed else "BROKEN"
     faults = ", ".join(f"{name} {n}" for name, n in sorted(report.faults.items()))
     print(f"seed {report.seed}: {verdict}; faults: {faults}")
@@ -52,37 +52,39 @@
     length: float = 10.0,
     nodes: int = 3,
     callers: int = 12,
-    logs: Annotated[Path | None, Parameter(help="Keeps the nodes' logs here.")] = None,
+    logs: Annotated[Path | None, Parameter(help="Folder for the nodes' logs.")] = None,
 ) -> None:
-    """Run nodes as processes under random faults and check the promises.
+    """Run node processes under random faults and check the invariants.
 
     Parameters
     ----------
     seeds
-        Which runs, as in ``1-50`` or ``3,8-10``.
+        Seeds to run, such as ``1-50`` or ``3,8-10``.
     length
-        Seconds of faults in each run.
+        Time during which faults occur in each run, in seconds.
     nodes
-        Node processes, at most 16.
+        Number of node processes, at most 16.
     callers
-        Callers that send requests all the time.
+        Number of callers that send requests during the run.
     """
     try:
-        chosen = parse_seeds(seeds)
+        chosen_seeds = parse_seeds(seeds)
     except ValueError:
-        fail(ExitCode.USAGE, f"seeds: {seeds!r} is not like 3,8-10")
+        fail(ExitCode.USAGE, f"seeds: {seeds!r} is not a list such as 3,8-10")
     if not 1 <= nodes <= 16:
-        fail(ExitCode.USAGE, "nodes: from 1 to 16")
+        fail(ExitCode.USAGE, "nodes: must be from 1 to 16")
     size = SoakSize(nodes=nodes, callers=callers, length_s=length)
-    broken = []
-    for seed in chosen:
+    failed_seeds = []
+    for seed in chosen_seeds:
         with TemporaryDirectory() as scratch:
             folder = Path(scratch) if logs is None else logs / str(seed)
             folder.mkdir(parents=True, exist_ok=True)
             report = asyncio.run(soak(seed, size, folder))
-        _print(report)
+        _print_report(report)
         if not report.passed:
-            broken.append(seed)
-    print(f"{len(chosen) - len(broken)} of {len(chosen)} seeds passed")
-    if broken:
-        fail(ExitCode.FAILED, f"broken seeds: {broken}")
+            failed_seeds.append(seed)
+    print(
+        f"{len(chosen_seeds) - len(failed_seeds)} of {len(chosen_seeds)} seeds passed"
+    )
+    if failed_seeds:
+        fail(ExitCode.FAILED, f"broken seeds: {failed_seeds}")
--- a/poplarrelay/commands/standin.py
+++ b/poplarrelay/commands/standin.py
@@ -1,4 +1,4 @@
-"""``poplarrelay stand-in``: small stand-ins for what surrounds the system."""
+"""``poplarrelay stand-in``: run stand-ins for the platform's services and back ends."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     retention_s: float = 86_400.0,
     appends_per_s: float = 400.0,
 ) -> None:
-    """Run the log service's stand-in.
+    """Run a stand-in for the log service.
 
     Parameters
     ----------
     retention_s
-        Seconds for which records are kept.
+        Time for which records are kept, in seconds.
     appends_per_s
-        Appends taken in a second.
+        Most appends that are accepted per second.
     """
     from poplarrelay.standins.base import run_stand_in
     from poplarrelay.standins.log import LogStandIn
@@ -44,14 +44,14 @@
 def hosts(
     *, port: Port, listing: Path, host: str = "127.0.0.1", lag_s: float = 1.0
 ) -> None:
-    """Run the host list's stand-in.
+    """Run a stand-in for the host list.
 
     Parameters
     ----------
     listing
-        JSON file with the endpoints to begin with.
+        JSON file with the initial endpoints.
     lag_s
-        Seconds until a change is told.
+        Delay until the list shows a change, in seconds.
     """
     from poplarrelay.standins.base import run_stand_in
     from poplarrelay.standins.platform import HostListStandIn
@@ -62,7 +62,7 @@
 
 @standin_app.command
 def cloud(*, port: Port, host: str = "127.0.0.1") -> None:
-    """Run the cloud API's stand-in."""
+    """Run a stand-in for the cloud API."""
     from poplarrelay.standins.base import run_stand_in
     from poplarrelay.standins.platform import CloudStandIn
 
@@ -71,7 +71,7 @@
 
 @standin_app.command
 def weights(*, port: Port, host: str = "127.0.0.1", loads_per_s: float = 2.0) -> None:
-    """Run the weight store's stand-in."""
+    """Run a stand-in for the store of model weights."""
     from poplarrelay.standins.base import run_stand_in
     from poplarrelay.standins.platform import WeightStoreStandIn
 
@@ -91,22 +91,22 @@
     cache_blocks: int = 2000,
     checks_fencing: bool = False,
 ) -> None:
-    """Run a model engine's stand-in.
+    """Run a stand-in for a model engine.
 
     Parameters
     ----------
     models
-        Names, with commas between them.
+        Names of the models, separated by commas.
     step_s
-        Seconds between two tokens of a request.
+        Time between two tokens of a request, in seconds.
     """
     from poplarrelay.standins.base import run_stand_in
     from poplarrelay.standins.batching import BatchLimits
     from poplarrelay.standins.engine import EngineStandIn
 
     limits = BatchLimits(slots, step_s, prefill_tokens_per_s, cache_blocks)
-    root = EngineStandIn(name, models.split(","), limits, checks_fencing)
-    run_stand_in(host, port, root, threads=128)
+    stand_in = EngineStandIn(name, models.split(","), limits, checks_fencing)
+    run_stand_in(host, port, stand_in, threads=128)
 
 
 @standin_app.command
@@ -118,12 +118,12 @@
     slots: int = 8,
     step_s: float = 0.005,
 ) -> None:
-    """Run a plain service's stand-in.
+    """Run a stand-in for a service.
 
     Parameters
     ----------
     step_s
-        Seconds that a call takes.
+        Duration of a call, in seconds.
     """
     from poplarrelay.standins.base import run_stand_in
     from poplarrelay.standins.service import ServiceStandIn
--- a/poplarrelay/commands/tests/test_command_line.py
+++ b/poplarrelay/commands/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: messages, exit codes, JSON."""
+"""Messages, exit codes and JSON output of the command line."""
 
 import json
 import subprocess
@@ -44,7 +44,7 @@
     assert json.loads(done.stdout)["deployments"] == 5
 
 
-def test_every_fault_of_a_configuration_is_told_with_its_place(tmp_path):
+def test_every_fault_of_a_configuration_is_reported_with_its_place(tmp_path):
     path = tmp_path / "bad.json"
     template = template_body(limits={"max_running": 0}, colour="red")
     deployment = deployment_body("alpha", priority="high")
@@ -70,7 +70,7 @@
     assert "deployments.0.limits.max_running" in done.stderr
 
 
-def test_broken_json_is_told_with_its_place(tmp_path):
+def test_malformed_json_is_reported_with_its_place(tmp_path):
     path = tmp_path / "bad.json"
     path.write_text('{"templates": [,]}')
     done = run("config", "check", path)
@@ -78,7 +78,7 @@
     assert "line 1, column" in done.stderr
 
 
-def test_every_fault_of_a_nodes_settings_is_told(tmp_path):
+def test_every_fault_of_a_nodes_settings_is_reported(tmp_path):
     path = tmp_path / "node.json"
     settings = {
         "node": "has space",
@@ -102,13 +102,13 @@
     assert "99999" not in done.stderr
 
 
-def test_a_missing_settings_file_is_told(tmp_path):
+def test_a_missing_settings_file_is_reported(tmp_path):
     done = run("node", "--settings", tmp_path / "none.json")
     assert done.returncode == 78
     assert "none.json" in done.stderr
 
 
-def test_an_address_in_use_is_told(tmp_path):
+def test_an_address_in_use_is_reported(tmp_path):
     with run_site(small_site(nodes=1, engines=1)) as site:
         path = site.folder / "node-1.json"
         done = run("node", "--settings", path)
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.processes
-def test_an_operators_and_a_callers_day(tmp_path):
+def test_operator_and_caller_commands_against_running_nodes(tmp_path):
     with run_site(small_site(nodes=2, engines=1)) as site:
         node = site.peers_address("node-1")
         callers = site.nodes["node-2"].address
@@ -146,33 +146,43 @@
         path.write_text(json.dumps({"templates": [template_body()]}))
         assert run("template", "publish", path, "--node", node).returncode == 0
 
-        def agreed():
-            # What a node knows of the others is passed on with probes.
+        def nodes_have_change():
+            # Nodes exchange their state with probes, so an offset arrives with a delay.
             done = run("config", "status", "--node", node, "--json")
             status = json.loads(done.stdout)
             same = len(set(status["nodes"].values())) == 1
             return same and "deployment/beta" in status["in_force"]
 
-        wait_until(agreed, 20.0, "both nodes current")
+        wait_until(nodes_have_change, 20.0, "both nodes current")
         history = run("config", "history", "--node", node)
         assert "in force" in history.stdout
         seen = run("status", "--node", node)
         assert "peer node-2  alive  ready" in seen.stdout
 
         token = {"POPLARRELAY_TOKEN": team_token("beta")}
-        asked = ("--address", callers)
-        text = run("call", "complete", "hello", *asked, "--model", "small", **token)
+        address = ("--address", callers)
+        text = run("call", "complete", "hello", *address, "--model", "small", **token)
         assert text.returncode == 0
         assert len(text.stdout.split()) == 64
-        book = run("call", "service", "booking", "/x", *asked, "--body", "{}", **token)
-        assert '"run":1' in book.stdout
+        booking = run(
+            "call", "service", "booking", "/x", *address, "--body", "{}", **token
+        )
+        assert '"run":1' in booking.stdout
         body = json.dumps({"model": "small", "prompt": "x", "max_tokens": 3})
-        later = run("call", "defer", "/v1/completions", body, *asked, **token)
+        deferred = run("call", "defer", "/v1/completions", body, *address, **token)
         fetched = run(
-            "call", "fetch", later.stdout.strip(), *asked, "--wait-s", "20", **token
+            "call",
+            "fetch",
+            deferred.stdout.strip(),
+            *address,
+            "--wait-s",
+            "20",
+            **token,
         )
         assert fetched.stdout.strip() == "answered"
-        wrong = run("call", "complete", "hi", *asked, "--model", "no", **token)
-        assert wrong.returncode == 65
-        nobody = run("call", "complete", "hi", *asked, "--model", "small")
-        assert nobody.returncode == 2
+        unknown_model = run(
+            "call", "complete", "hi", *address, "--model", "no", **token
+        )
+        assert unknown_model.returncode == 65
+        without_token = run("call", "complete", "hi", *address, "--model", "small")
+        assert without_token.returncode == 2
--- a/poplarrelay/commands/tests/test_explain.py
+++ b/poplarrelay/commands/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The way of a request, told from recorded log lines of two nodes."""
+"""The history of a request, from recorded log lines of two nodes."""
 
 from poplarrelay.commands.explain import explain_request, read_lines
 
@@ -19,28 +19,32 @@
 """.splitlines()  # noqa: E501
 
 
-def test_way_of_a_request_with_what_its_node_believed():
-    told = explain_request("r-7", read_lines(RECORDED))
-    assert [line["message"] for line in told.lines] == ["attempt", "request"]
-    beliefs = {(line["message"], line.get("change")) for line in told.beliefs}
-    assert beliefs == {
+def test_history_of_a_request_with_the_state_known_to_its_node():
+    explanation = explain_request("r-7", read_lines(RECORDED))
+    assert [line["message"] for line in explanation.lines] == ["attempt", "request"]
+    known_state = {
+        (line["message"], line.get("change")) for line in explanation.known_state
+    }
+    assert known_state == {
         ("configuration in force", None),
         ("endpoint", "new"),
         ("dependency lost", None),
         ("endpoint avoided", None),
     }
-    text = "\n".join(told.text())
+    text = "\n".join(explanation.text())
     assert "connection lost" in text
     assert "status=502" in text
     assert "r-8" not in text
 
 
-def test_refused_request_with_the_crashes_that_block_it():
-    told = explain_request("r-9", read_lines(RECORDED))
-    blocked = [line for line in told.beliefs if line["message"] == "request blocked"]
+def test_refused_request_is_shown_with_the_block_of_its_fingerprint():
+    explanation = explain_request("r-9", read_lines(RECORDED))
+    blocked = [
+        line for line in explanation.known_state if line["message"] == "request blocked"
+    ]
     assert [(line["fingerprint"], line["crashes"]) for line in blocked] == [("f-1", 3)]
 
 
-def test_unknown_request_is_said_to_be_unknown():
-    told = explain_request("r-0", read_lines(RECORDED))
-    assert told.text() == ["no line tells of request r-0"]
+def test_request_without_log_lines_is_reported():
+    explanation = explain_request("r-0", read_lines(RECORDED))
+    assert explanation.text() == ["no line tells of request r-0"]
--- a/poplarrelay/commands/tests/test_losses.py
+++ b/poplarrelay/commands/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What callers lost and to what, told from recorded log lines."""
+"""Late and failed requests by cause, from recorded log lines."""
 
 import pytest
 
@@ -22,19 +22,19 @@
 """.splitlines()  # noqa: E501
 
 
-def test_requests_are_counted_by_what_they_were_lost_to():
+def test_late_and_failed_requests_are_counted_by_cause():
     found = count_losses(read_lines(RECORDED))
     assert (found.total, found.in_time) == (8, 1)
     assert found.causes == {
-        Cause.LENGTH: 1,
-        Cause.LINE: 1,
-        Cause.SURPRISE: 1,
+        Cause.OWN_PREFILL: 1,
+        Cause.QUEUE: 1,
+        Cause.SLOWER_THAN_FORECAST: 1,
         Cause.OVER_QUOTA: 1,
-        Cause.PLAIN: 1,
+        Cause.SERVICE_CALL: 1,
         Cause.BROKEN_OFF: 1,
         Cause.STOPPING: 1,
     }
-    assert found.tokens[Cause.LENGTH] == 41_900
+    assert found.tokens[Cause.OWN_PREFILL] == 41_900
     text = "\n".join(found.text())
     assert "8 requests, 1 in time (12.5 in 100)" in text
 
@@ -43,10 +43,10 @@
     log = tmp_path / "node.log"
     log.write_bytes(b"\n".join(RECORDED))
     losses(log)
-    assert Cause.LINE.value in capsys.readouterr().out
+    assert Cause.QUEUE.value in capsys.readouterr().out
 
 
-def test_log_without_requests_is_said_to_tell_of_none(tmp_path, capsys):
+def test_log_without_requests_is_reported(tmp_path, capsys):
     log = tmp_path / "node.log"
     log.write_text("a line of another program\n")
     with pytest.raises(SystemExit) as ended:
--- a/poplarrelay/replay/generate.py
+++ b/poplarrelay/replay/generate.py
@@ -1,8 +1,8 @@
-"""Make traces of a shortened day from a seed.
+"""Generate traces of a shortened day from a seed.
 
-The day has the shape of the two users' days: demand halves at night, long case files
-come back (prompts of one family), bookings come in bursts, urgent berth queries stand
-beside patient reports, and a wave of reclaims takes one failure domain and the next.
+The load follows that of the two users. Demand halves at night. Prompts of one family
+share a long prefix. Bookings arrive in bursts. Urgent queries are mixed with patient
+reports. The platform reclaims an engine in one failure domain, then in a second one.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from poplarrelay.replay.trace import (
     EventKind,
-    Stated,
+    StatedOutcomes,
     Trace,
     TraceEvent,
     TraceHead,
@@ -25,21 +25,21 @@
 
 __all__ = ["Day", "generate_trace"]
 
-#: Lowest demand of the night, as a share of the noon's.
+#: Lowest demand at night, as a share of the demand at noon.
 NIGHT_SHARE = 0.5
-#: Bookings in a burst.
-BURST = 6
+#: Number of bookings that arrive at the same time.
+BOOKINGS_PER_BURST = 6
 
 
 class Day(Enum):
-    """Whose day the trace has."""
+    """User whose load a trace imitates."""
 
     CEREMONY = "ceremony"
     HARBOUR = "harbour"
 
 
-class _Maker:
-    """Draws requests for a site."""
+class _RequestGenerator:
+    """Generator of random requests to a site."""
 
     def __init__(self, site: Site, day: Day, rng: random.Random) -> None:
         self._rng = rng
@@ -48,29 +48,29 @@
         template = site.configuration.templates[0]
         self._model = template.models[0]
         self._service = template.services[0].name
-        self._allowed = {
+        self._may_use_model = {
             d.team: d.models is None or self._model in d.models
             for d in site.configuration.deployments
         }
         self._count = 0
 
-    def _team(self) -> str:
-        # A few teams are large.
+    def _draw_team(self) -> str:
+        # The weights fall with the rank, so a few teams send most requests.
         weights = [1.0 / (rank + 1) for rank in range(len(self._teams))]
         return self._rng.choices(self._teams, weights)[0]
 
-    def _id(self) -> str:
+    def _next_id(self) -> str:
         self._count += 1
         return f"q{self._count}"
 
     def completion(self, at: float) -> TraceRequest:
-        """Return a completion; case files are long and come back."""
-        rng, team = self._rng, self._team()
-        while not self._allowed[team]:
-            team = self._team()
+        """Return a completion; prompts of a ceremony day are long."""
+        rng, team = self._rng, self._draw_team()
+        while not self._may_use_model[team]:
+            team = self._draw_team()
         patient = rng.random() < 0.25
         urgent = not patient and rng.random() < 0.4
-        long = self._day is Day.CEREMONY
+        long_prompts = self._day is Day.CEREMONY
         request_class = RequestClass.STANDARD
         if patient:
             request_class = RequestClass.PATIENT
@@ -78,23 +78,27 @@
             request_class = RequestClass.URGENT
         return TraceRequest(
             at=at,
-            id=self._id(),
+            id=self._next_id(),
             team=team,
             request_class=request_class,
             work=TraceWork.DEFERRED if patient else TraceWork.COMPLETION,
             name=self._model,
-            prompt_tokens=rng.randint(400, 1200) if long else rng.randint(30, 120),
-            family=f"case{rng.randint(1, 12)}" if long else f"port{rng.randint(1, 6)}",
+            prompt_tokens=rng.randint(400, 1200)
+            if long_prompts
+            else rng.randint(30, 120),
+            family=f"case{rng.randint(1, 12)}"
+            if long_prompts
+            else f"port{rng.randint(1, 6)}",
             answer_tokens=rng.randint(60, 120) if patient else rng.randint(10, 40),
             timeout_s=60.0 if patient else 15.0,
         )
 
     def booking(self, at: float) -> TraceRequest:
-        """Return a booking, which may not be repeated."""
+        """Return a booking, which must not be repeated."""
         return TraceRequest(
             at=at,
-            id=self._id(),
-            team=self._team(),
+            id=self._next_id(),
+            team=self._draw_team(),
             request_class=RequestClass.URGENT,
             work=TraceWork.SERVICE,
             name=self._service,
@@ -104,33 +108,33 @@
 
 
 def _demand(at: float, seconds: float) -> float:
-    """Return the demand at a time of the day as a share of the noon's."""
+    """Return the demand at a time of day as a share of the demand at noon."""
     phase = math.cos(2 * math.pi * (at / seconds - 0.5))
     return NIGHT_SHARE + (1.0 - NIGHT_SHARE) * (1.0 + phase) / 2
 
 
-def _wave(site: Site, seconds: float, rng: random.Random) -> list[TraceEvent]:
-    """Return notices and reclaims of reclaimable engines in two domains in turn."""
+def _reclaim_events(site: Site, seconds: float, rng: random.Random) -> list[TraceEvent]:
+    """Return a notice and a reclaim of one engine in each of two domains."""
     events: list[TraceEvent] = []
     domains = rng.sample(site.failure_domains, 2)
     for index, domain in enumerate(domains):
         at = 0.5 * seconds + 4.0 * index
-        victims = [
+        candidates = [
             e
             for e in site.endpoints
             if e.failure_domain == domain and e.reclaimable and e.kind == "engine"
         ]
-        for victim in victims[:1]:
+        for engine in candidates[:1]:
             events.append(
                 TraceEvent(
                     at=at,
                     event=EventKind.NOTICE,
-                    endpoint=victim.name,
+                    endpoint=engine.name,
                     remaining_s=3.0,
                 )
             )
             events.append(
-                TraceEvent(at=at + 3.0, event=EventKind.RECLAIM, endpoint=victim.name)
+                TraceEvent(at=at + 3.0, event=EventKind.RECLAIM, endpoint=engine.name)
             )
     return events
 
@@ -138,23 +142,23 @@
 def generate_trace(
     site: Site, day: Day, seed: int, seconds: float, rate: float
 ) -> Trace:
-    """Return a trace.
+    """Return the trace of a shortened day.
 
     Parameters
     ----------
     site : Site
-        Whose teams, models and endpoints it uses.
+        Site with the teams, models and endpoints of the trace.
     day : Day
-        The shape of the demand.
+        User whose load the trace imitates.
     seed : int
-        The same seed gives the same trace.
+        Seed of the random numbers; equal seeds give equal traces.
     seconds : float
         Length of the shortened day.
     rate : float
-        Requests a second at noon.
+        Requests per second at noon.
     """
     rng = random.Random(seed)
-    maker = _Maker(site, day, rng)
+    generator = _RequestGenerator(site, day, rng)
     requests: list[TraceRequest] = []
     at = 0.0
     while True:
@@ -162,13 +166,15 @@
         if at >= seconds:
             break
         if rng.random() < 0.08:
-            requests += [maker.booking(at) for _ in range(BURST)]
+            requests += [generator.booking(at) for _ in range(BOOKINGS_PER_BURST)]
         else:
-            requests.append(maker.completion(at))
-    outage = TraceEvent(
+            requests.append(generator.completion(at))
+    log_outage = TraceEvent(
         at=0.25 * seconds, event=EventKind.LOG_OUTAGE, duration_s=0.1 * seconds
     )
-    events = sorted([outage, *_wave(site, seconds, rng)], key=lambda e: e.at)
+    events = sorted(
+        [log_outage, *_reclaim_events(site, seconds, rng)], key=lambda e: e.at
+    )
     head = TraceHead(
         name=f"{day.value}-{seed}",
         seconds=seconds,
@@ -177,7 +183,7 @@
             RequestClass.STANDARD: 1.7,
             RequestClass.PATIENT: 60.0,
         },
-        stated=Stated(
+        stated=StatedOutcomes(
             in_time_share={RequestClass.URGENT: 0.95, RequestClass.STANDARD: 0.95}
         ),
     )
--- a/poplarrelay/replay/judge.py
+++ b/poplarrelay/replay/judge.py
@@ -1,4 +1,4 @@
-"""Judge a replay against the outcomes that its trace states."""
+"""Compare the results of a replay with the outcomes that its trace states."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from poplarrelay.replay.trace import Trace
 from poplarrelay.tables.requests import RequestClass
 
-__all__ = ["Broken", "ClassFigures", "ReplayEvaluation", "evaluate_replay"]
+__all__ = ["ClassFigures", "MissedOutcome", "ReplayEvaluation", "evaluate_replay"]
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A stated outcome that was not reached.
+class MissedOutcome:
+    """Stated outcome that a replay did not reach.
 
     Attributes
     ----------
     requests : tuple of str
-        The requests that broke it, the first ones if there are many.
+        Ids of the requests that caused it, at most 20.
     """
 
     outcome: str
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class ReplayEvaluation:
-    """All figures of a replay, and what was broken."""
+    """Figures of a replay and the stated outcomes that it did not reach."""
 
     name: str
     requests: int
@@ -56,11 +56,11 @@
     cached_tokens: int
     recomputed_moving: int
     recomputed_missing_cache: int
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[MissedOutcome] = field(default_factory=list)
 
     @property
     def good(self) -> bool:
-        """Return whether all stated outcomes were reached."""
+        """Return whether the replay reached all stated outcomes."""
         return not self.broken
 
 
@@ -73,11 +73,11 @@
     if result.word is not ReplayOutcome.ANSWERED:
         return False
     target = trace.head.targets_s.get(result.request.request_class)
-    reached = result.first_s if result.first_s is not None else result.total_s
-    return target is None or reached <= target
+    waited_s = result.first_s if result.first_s is not None else result.total_s
+    return target is None or waited_s <= target
 
 
-def _figures(trace: Trace, results: list[RequestResult]) -> ClassFigures:
+def _class_figures(trace: Trace, results: list[RequestResult]) -> ClassFigures:
     first = [r.first_s for r in results if r.first_s is not None]
     return ClassFigures(
         requests=len(results),
@@ -88,31 +88,31 @@
     )
 
 
-def _missed_cache(replay: Replay) -> int:
-    """Return shared prompt tokens that were computed again by an engine.
+def _count_recomputed_tokens(replay: Replay) -> int:
+    """Return the number of shared prompt tokens that engines computed again.
 
-    The head of a family's prompts has been computed when its first request was
-    answered; what later ones find missing is counted.
+    An engine has computed the shared prefix of a family when the family's first request
+    is answered. Prefix tokens that later requests do not find in a cache are counted.
     """
-    seen: set[tuple[str, str]] = set()
-    missed = 0
+    seen_families: set[tuple[str, str]] = set()
+    recomputed = 0
     for result in sorted(replay.results, key=lambda r: r.request.at):
         request = result.request
         if not request.family or result.word is not ReplayOutcome.ANSWERED:
             continue
         family = (request.team, request.family)
-        if family in seen:
+        if family in seen_families:
             shared = int(result.prompt_tokens * 0.8)
-            missed += max(0, shared - result.cached_tokens - 16)
-        seen.add(family)
-    return missed
+            recomputed += max(0, shared - result.cached_tokens - 16)
+        seen_families.add(family)
+    return recomputed
 
 
 def evaluate_replay(replay: Replay) -> ReplayEvaluation:
-    """Return the figures of a replay and every stated outcome that it broke."""
+    """Return the figures of a replay and each stated outcome that it did not reach."""
     trace, results = replay.trace, replay.results
     doubled = [r for r in results if replay.runs.get(r.run_name, 0) > 1]
-    false = [
+    false_not_run = [
         r
         for r in results
         if r.word is ReplayOutcome.NOT_RUN and replay.runs.get(r.run_name, 0) > 0
@@ -120,8 +120,8 @@
     lost = [r for r in results if r.word is ReplayOutcome.UNKNOWN]
     fragments = [r for r in results if r.word is ReplayOutcome.FRAGMENT]
     by_class = {
-        each: [r for r in results if r.request.request_class is each]
-        for each in RequestClass
+        request_class: [r for r in results if r.request.request_class is request_class]
+        for request_class in RequestClass
     }
     evaluation = ReplayEvaluation(
         name=trace.head.name,
@@ -129,44 +129,46 @@
         seconds=round(replay.seconds, 2),
         words=dict(Counter(r.word.value for r in results)),
         classes={
-            each.value: _figures(trace, found)
-            for each, found in by_class.items()
+            request_class.value: _class_figures(trace, found)
+            for request_class, found in by_class.items()
             if found
         },
         doubled=len(doubled),
         lost=len(lost),
         fragments=len(fragments),
-        false_not_run=len(false),
+        false_not_run=len(false_not_run),
         prompt_tokens=sum(r.prompt_tokens for r in results),
         cached_tokens=sum(r.cached_tokens for r in results),
         recomputed_moving=sum(r.recomputed_tokens for r in results),
-        recomputed_missing_cache=_missed_cache(replay),
+        recomputed_missing_cache=_count_recomputed_tokens(replay),
     )
     stated = trace.head.stated
     for name, bound, found in (
         ("doubled", stated.max_doubled, doubled),
         ("lost", stated.max_lost, lost),
         ("fragments", stated.max_fragments, fragments),
-        ("false_not_run", stated.max_false_not_run, false),
+        ("false_not_run", stated.max_false_not_run, false_not_run),
     ):
         if len(found) > bound:
             ids = tuple(r.request.id for r in found[:20])
-            evaluation.broken.append(Broken(name, bound, len(found), ids))
-    for each, share in stated.in_time_share.items():
-        _judge_share(evaluation, trace, each, by_class[each], share)
+            evaluation.broken.append(MissedOutcome(name, bound, len(found), ids))
+    for request_class, share in stated.in_time_share.items():
+        _check_in_time_share(
+            evaluation, trace, request_class, by_class[request_class], share
+        )
     return evaluation
 
 
-def _judge_share(
+def _check_in_time_share(
     evaluation: ReplayEvaluation,
     trace: Trace,
-    each: RequestClass,
+    request_class: RequestClass,
     results: list[RequestResult],
     share: float,
 ) -> None:
     late = [r.request.id for r in results if not _in_time(trace, r)]
     found = 1.0 - len(late) / len(results) if results else 1.0
     if found < share:
-        name = f"in_time_share.{each.value}"
-        broken = Broken(name, share, round(found, 4), tuple(late[:20]))
-        evaluation.broken.append(broken)
+        name = f"in_time_share.{request_class.value}"
+        missed = MissedOutcome(name, share, round(found, 4), tuple(late[:20]))
+        evaluation.broken.append(missed)
--- a/poplarrelay/replay/report.py
+++ b/poplarrelay/replay/report.py
@@ -1,4 +1,4 @@
-"""Write a replay's report: JSON, and one HTML page with plots."""
+"""Format the report of a replay as JSON or as an HTML page with a plot."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def report_json(evaluation: ReplayEvaluation) -> bytes:
-    """Return the report for programs."""
+    """Return the report as indented JSON."""
     document = {**asdict(evaluation), "good": evaluation.good}
     return orjson.dumps(document, option=orjson.OPT_INDENT_2)
 
@@ -32,13 +32,13 @@
 
 
 def _first_token_plot(replay: Replay) -> str:
-    """Return a plot of the time to the first token over the trace's time."""
+    """Return an SVG plot of the time to the first token over the time of sending."""
     points = [r for r in replay.results if r.first_s is not None]
-    longest = max((r.first_s or 0.0 for r in points), default=1.0) or 1.0
+    longest_s = max((r.first_s or 0.0 for r in points), default=1.0) or 1.0
     seconds = replay.trace.head.seconds
-    circles = "".join(_circle(r, longest, seconds) for r in points)
+    circles = "".join(_circle(r, longest_s, seconds) for r in points)
     axis = (
-        f'<text x="4" y="14" font-size="11">{longest:.2f} s</text>'
+        f'<text x="4" y="14" font-size="11">{longest_s:.2f} s</text>'
         f'<text x="{WIDTH - 60}" y="{HEIGHT - 6}" font-size="11">{seconds:.0f} s</text>'
     )
     events = "".join(
@@ -54,8 +54,8 @@
     return MARGIN + (WIDTH - 2 * MARGIN) * min(1.0, at / seconds)
 
 
-def _circle(result: RequestResult, longest: float, seconds: float) -> str:
-    height = (HEIGHT - 2 * MARGIN) * (result.first_s or 0.0) / longest
+def _circle(result: RequestResult, longest_s: float, seconds: float) -> str:
+    height = (HEIGHT - 2 * MARGIN) * (result.first_s or 0.0) / longest_s
     colour = COLOURS[result.request.request_class.value]
     return (
         f'<circle cx="{_x(result.request.at, seconds):.1f}" '
@@ -65,7 +65,7 @@
 
 
 def report_html(evaluation: ReplayEvaluation, replay: Replay) -> str:
-    """Return one self-contained page."""
+    """Return the report as one HTML page without external files."""
     verdict = "all stated outcomes were reached" if evaluation.good else "broken"
     classes = "".join(
         _row(
@@ -93,8 +93,8 @@
         )
     )
     broken = "".join(
-        _row(b.outcome, b.stated, b.found, ", ".join(b.requests))
-        for b in evaluation.broken
+        _row(missed.outcome, missed.stated, missed.found, ", ".join(missed.requests))
+        for missed in evaluation.broken
     )
     return f"""<!doctype html>
 <html lang="en"><head><meta charset="utf-8">
--- a/poplarrelay/replay/runner.py
+++ b/poplarrelay/replay/runner.py
@@ -1,4 +1,4 @@
-"""Send a trace's requests at their times and note what became of each."""
+"""Send the requests of a trace at their times and record the result of each."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ReplayOutcome(Enum):
-    """What a caller was told in the end."""
+    """Outcome of a request as its caller sees it."""
 
     ANSWERED = "answered"
     FRAGMENT = "fragment"
@@ -40,14 +40,15 @@
 
 @dataclass(slots=True)
 class RequestResult:
-    """What became of one request.
+    """Result of one request.
 
     Attributes
     ----------
     first_s : float or None
-        Seconds to the first token, or to a service's answer, at the trace's scale.
+        Seconds until the first token, or until a service's answer, in trace time.
     run_name : str
-        Name under which a service counts its runs; empty for completions.
+        Name under which a service counts the runs of the call. Empty for completions
+        and for calls that may be repeated.
     """
 
     request: TraceRequest
@@ -67,7 +68,7 @@
     Attributes
     ----------
     runs : dict of str to int
-        Runs that the services counted.
+        Number of runs that the services counted, by run name.
     """
 
     trace: Trace
@@ -76,38 +77,41 @@
     seconds: float = 0.0
 
 
-class _Sender:
+class _RequestSender:
     def __init__(self, target: ReplayTarget, scale: float) -> None:
         self._target = target
         self._scale = scale
-        self._local = threading.local()
+        self._thread_state = threading.local()
 
     def _client(self, team: str) -> CallerClient:
-        """Return this thread's caller of a team, so that its addresses are kept."""
-        clients = self._local.__dict__.setdefault("clients", {})
+        """Return this thread's client of a team.
+
+        A thread reuses its client, so the client keeps its node addresses.
+        """
+        clients = self._thread_state.__dict__.setdefault("clients", {})
         if team not in clients:
             token = self._target.tokens[team]
             clients[team] = CallerClient(self._target.callers, token)
         return clients[team]
 
     def send(self, request: TraceRequest) -> RequestResult:
-        """Make a request and note what became of it."""
-        began = time.monotonic()
-        ways: dict[TraceWork, Callable[[TraceRequest], RequestResult]] = {
+        """Send a request and return its result."""
+        started = time.monotonic()
+        methods: dict[TraceWork, Callable[[TraceRequest], RequestResult]] = {
             TraceWork.COMPLETION: self._complete,
             TraceWork.SERVICE: self._call,
             TraceWork.DEFERRED: self._defer,
         }
         try:
-            result = ways[request.work](request)
+            result = methods[request.work](request)
         except AnswerNotRun:
             result = RequestResult(request, ReplayOutcome.NOT_RUN)
         except ClientError:
             result = RequestResult(request, ReplayOutcome.UNKNOWN)
-        result.total_s = (time.monotonic() - began) / self._scale
+        result.total_s = (time.monotonic() - started) / self._scale
         if request.work is TraceWork.SERVICE:
             if not request.may_repeat:
-                result.run_name = call_name("POST", "/confirm", _booking(request))
+                result.run_name = call_name("POST", "/confirm", _booking_body(request))
             if result.word is ReplayOutcome.ANSWERED:
                 result.first_s = result.total_s
         return result
@@ -128,7 +132,7 @@
         first = result.first_token_s
         return RequestResult(
             request,
-            _judge_text(request, prompt, result.text),
+            _completion_outcome(request, prompt, result.text),
             None if first is None else first / self._scale,
             cached_tokens=result.usage.get("cached_tokens", 0),
             recomputed_tokens=result.usage.get("recomputed_tokens", 0),
@@ -136,12 +140,12 @@
         )
 
     def _call(self, request: TraceRequest) -> RequestResult:
-        """Make a service's call; one that may be repeated is a look-up."""
+        """Call a service: a lookup if the call may be repeated, else a booking."""
         may_repeat = request.may_repeat
         self._client(request.team).call_service(
             request.name,
             f"/seats?of={request.id}" if may_repeat else "/confirm",
-            None if may_repeat else _booking(request),
+            None if may_repeat else _booking_body(request),
             "GET" if may_repeat else "POST",
             request.timeout_s * self._scale,
             request_class=request.request_class.value,
@@ -165,25 +169,29 @@
         usage = answer["usage"]
         return RequestResult(
             request,
-            _judge_text(request, prompt, answer["choices"][0]["text"]),
+            _completion_outcome(request, prompt, answer["choices"][0]["text"]),
             cached_tokens=usage["cached_tokens"],
             recomputed_tokens=usage["recomputed_tokens"],
             prompt_tokens=usage["prompt_tokens"],
         )
 
 
-def _booking(request: TraceRequest) -> bytes:
+def _booking_body(request: TraceRequest) -> bytes:
     return b'{"booking": "%b"}' % request.id.encode()
 
 
-def _judge_text(request: TraceRequest, prompt: str, text: str) -> ReplayOutcome:
-    """Return whether an answer is whole; tokens are a function of the prompt."""
-    whole = "".join(token_text(prompt, i) for i in range(request.answer_tokens))
-    return ReplayOutcome.ANSWERED if text == whole else ReplayOutcome.FRAGMENT
+def _completion_outcome(request: TraceRequest, prompt: str, text: str) -> ReplayOutcome:
+    """Return whether an answer is complete.
+
+    The tokens of stand-in engines are a function of the prompt, so the expected text is
+    known.
+    """
+    expected = "".join(token_text(prompt, i) for i in range(request.answer_tokens))
+    return ReplayOutcome.ANSWERED if text == expected else ReplayOutcome.FRAGMENT
 
 
-class _Platform:
-    """Does what the trace says that the platform does."""
+class _PlatformEvents:
+    """Applies the platform events of a trace to the stand-ins."""
 
     def __init__(self, target: ReplayTarget, scale: float) -> None:
         self._target = target
@@ -196,11 +204,11 @@
         try:
             self._http_client.call(method, address, path, body, timeout_s=2.0)
         except CallFailed:
-            # An endpoint that is told to end gives no answer.
+            # An endpoint that exits on request sends no answer.
             return
 
-    def do(self, event: TraceEvent) -> None:
-        """Bring about one event."""
+    def apply(self, event: TraceEvent) -> None:
+        """Apply one event."""
         target = self._target
         if event.event is EventKind.NOTICE:
             notice = {
@@ -226,7 +234,7 @@
             self._call("POST", target.hosts, f"/prices/{event.endpoint}", body)
 
     def runs(self) -> dict[str, int]:
-        """Return the runs that the services counted."""
+        """Return the number of runs that the services counted, by run name."""
         total: dict[str, int] = {}
         for address in self._target.endpoints.values():
             try:
@@ -245,26 +253,27 @@
     scale: float = 1.0,
     progress: Callable[[int, int], None] | None = None,
 ) -> Replay:
-    """Replay a trace.
+    """Replay a trace and return the results.
 
     Parameters
     ----------
     trace : Trace
-        The trace.
+        Trace to replay.
     target : ReplayTarget
-        The running system.
+        Addresses and tokens of the running system.
     scale : float
-        Seconds of the replay for one second of the trace.
+        Seconds of the replay per second of the trace.
     progress : callable or None
-        Is told the requests that have ended and their number.
+        Called after each request with the number of ended requests and the number of
+        all requests.
     """
     replay = Replay(trace)
-    sender, platform = _Sender(target, scale), _Platform(target, scale)
-    began = time.monotonic()
+    sender, platform = _RequestSender(target, scale), _PlatformEvents(target, scale)
+    started = time.monotonic()
     lock = threading.Lock()
 
-    def at(moment: float) -> None:
-        time.sleep(max(0.0, began + moment * scale - time.monotonic()))
+    def wait_until(moment: float) -> None:
+        time.sleep(max(0.0, started + moment * scale - time.monotonic()))
 
     def send(request: TraceRequest) -> None:
         result = sender.send(request)
@@ -273,19 +282,19 @@
             if progress is not None:
                 progress(len(replay.results), len(trace.requests))
 
-    def disturb() -> None:
+    def apply_events() -> None:
         with ThreadPoolExecutor(8) as pool:
             for event in trace.events:
-                at(event.at)
-                pool.submit(platform.do, event)
+                wait_until(event.at)
+                pool.submit(platform.apply, event)
 
-    disturber = threading.Thread(target=disturb)
-    disturber.start()
+    event_thread = threading.Thread(target=apply_events)
+    event_thread.start()
     with ThreadPoolExecutor(WORKERS) as pool:
         for request in trace.requests:
-            at(request.at)
+            wait_until(request.at)
             pool.submit(send, request)
-    disturber.join()
-    replay.seconds = time.monotonic() - began
+    event_thread.join()
+    replay.seconds = time.monotonic() - started
     replay.runs = platform.runs()
     return replay
--- a/poplarrelay/replay/target.py
+++ b/poplarrelay/replay/target.py
@@ -1,4 +1,4 @@
-"""Where a replay sends its requests and events."""
+"""Addresses to which a replay sends its requests and events."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     Attributes
     ----------
     callers : tuple of str
-        Callers' addresses of some nodes.
+        Addresses at which nodes serve callers.
     peers : tuple of str
-        Addresses of the second listeners, for metrics.
+        Addresses at which nodes serve peers and operators, for metrics.
     tokens : dict of str to str
-        Bearer token of each team.
+        Bearer token by team.
     cloud, log, hosts : str or None
-        Stand-ins that take the trace's events; None to leave such events out.
+        Addresses of the stand-ins that receive the trace's events. Events for an
+        address of None are left out.
     endpoints : dict of str to str
-        Addresses of the endpoints' stand-ins.
+        Address of each endpoint's stand-in by endpoint name.
     """
 
     callers: tuple[str, ...]
--- a/poplarrelay/replay/tests/test_replay.py
+++ b/poplarrelay/replay/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Traces, judgement, and a replay against real processes."""
+"""Traces, evaluation of results, and a replay against node processes."""
 
 import json
 import subprocess
@@ -32,7 +32,7 @@
     assert read_trace(path) == trace
 
 
-def test_every_fault_of_a_trace_is_told(trace, tmp_path):
+def test_every_fault_of_a_trace_is_reported(trace, tmp_path):
     path = tmp_path / "trace.jsonl"
     write_trace(path, trace)
     lines = path.read_text().splitlines()
@@ -47,7 +47,7 @@
     assert any(place.startswith("line 4") and "event" in place for place in places)
 
 
-def _replay(trace, **changes):
+def _make_replay(trace, **changes):
     results = [
         RequestResult(r, ReplayOutcome.ANSWERED, first_s=0.1, run_name=f"run {r.id}")
         for r in trace.requests
@@ -58,8 +58,8 @@
     return Replay(trace, results, runs, 8.0)
 
 
-def test_a_good_replay_breaks_nothing(trace):
-    assert evaluate_replay(_replay(trace)).good
+def test_a_replay_with_all_answers_reaches_every_stated_outcome(trace):
+    assert evaluate_replay(_make_replay(trace)).good
 
 
 @pytest.mark.parametrize(
@@ -70,21 +70,21 @@
         (ReplayOutcome.NOT_RUN, "false_not_run"),
     ],
 )
-def test_each_broken_outcome_names_its_request(trace, word, outcome):
-    replay = _replay(trace, word=word)
+def test_each_missed_outcome_names_its_request(trace, word, outcome):
+    replay = _make_replay(trace, word=word)
     broken = {b.outcome: b for b in evaluate_replay(replay).broken}
     assert broken[outcome].requests == (trace.requests[0].id,)
     assert outcome in report_html(evaluate_replay(replay), replay)
 
 
-def test_a_doubled_run_is_broken(trace):
-    replay = _replay(trace)
+def test_a_doubled_run_is_a_missed_outcome(trace):
+    replay = _make_replay(trace)
     replay.runs[replay.results[0].run_name] = 2
     assert [b.outcome for b in evaluate_replay(replay).broken] == ["doubled"]
 
 
-def test_late_answers_break_their_class(trace):
-    replay = _replay(trace)
+def test_late_answers_miss_the_share_of_their_class(trace):
+    replay = _make_replay(trace)
     for result in replay.results:
         result.first_s = 50.0
     names = {b.outcome for b in evaluate_replay(replay).broken}
@@ -92,8 +92,8 @@
 
 
 @pytest.mark.processes
-def test_replay_command_judges_running_nodes(trace, tmp_path):
-    # The trace has an outage of the log and reclaims of two domains in it.
+def test_replay_command_evaluates_running_nodes(trace, tmp_path):
+    # The trace contains an outage of the log and reclaims in two domains.
     trace_path, target = tmp_path / "trace.jsonl", tmp_path / "target.json"
     page = tmp_path / "report.html"
     write_trace(trace_path, trace)
--- a/poplarrelay/replay/trace.py
+++ b/poplarrelay/replay/trace.py
@@ -1,4 +1,8 @@
-"""Traces: JSON lines with requests and platform events, stated outcomes first."""
+"""Read and write traces.
+
+A trace is a file of JSON lines. The first line is the head, which holds the stated
+outcomes. The other lines are requests and platform events.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 
 __all__ = [
     "EventKind",
-    "Stated",
+    "StatedOutcomes",
     "Trace",
     "TraceEvent",
     "TraceHead",
@@ -27,12 +31,12 @@
     "write_trace",
 ]
 
-#: Share of a prompt that all prompts of its family have in common.
+#: Share of a prompt that is the common prefix of its family.
 SHARED_SHARE = 0.8
 
 
 class TraceWork(Enum):
-    """What kind of request a line stands for."""
+    """Kind of work that a request asks for."""
 
     COMPLETION = "completion"
     SERVICE = "service"
@@ -40,7 +44,7 @@
 
 
 class EventKind(Enum):
-    """What the platform does."""
+    """Kind of platform event."""
 
     NOTICE = "notice"
     RECLAIM = "reclaim"
@@ -49,13 +53,13 @@
     PRICE = "price"
 
 
-class Stated(StrictModel):
-    """Outcomes that a replay must show.
+class StatedOutcomes(StrictModel):
+    """Bounds on the outcomes of a replay.
 
     Attributes
     ----------
     in_time_share : dict
-        By class, the least share of answers in time.
+        Lowest share of requests that are answered in time, by request class.
     """
 
     max_doubled: int = 0
@@ -66,26 +70,32 @@
 
 
 class TraceHead(StrictModel):
-    """First line of a trace; `targets_s` bounds first tokens and answers by class."""
+    """First line of a trace.
+
+    Attributes
+    ----------
+    targets_s : dict
+        Most seconds until the first token, or until a service's answer, by class.
+    """
 
     kind: Literal["head"] = "head"
     name: str
     seconds: float = Field(gt=0)
     targets_s: dict[RequestClass, float]
-    stated: Stated = Stated()
+    stated: StatedOutcomes = StatedOutcomes()
 
 
 class TraceRequest(StrictModel):
-    """A caller's request.
+    """Request of a caller.
 
     Attributes
     ----------
     at : float
-        Seconds since the start.
+        Time of sending, in seconds since the start of the trace.
     family : str
-        Prompts of one family share their head.
+        Prompts of one family share a prefix; empty for no family.
     may_repeat : bool
-        Whether running it twice does no harm.
+        Whether the request can run twice without harm.
     """
 
     kind: Literal["request"] = "request"
@@ -103,7 +113,7 @@
 
 
 class TraceEvent(StrictModel):
-    """Something that the platform does."""
+    """Event of the platform."""
 
     kind: Literal["event"] = "event"
     at: float = Field(ge=0)
@@ -116,14 +126,14 @@
 
 
 class Trace(StrictModel):
-    """A whole trace, in order of time."""
+    """Trace with its requests and its events in order of time."""
 
     head: TraceHead
     requests: tuple[TraceRequest, ...]
     events: tuple[TraceEvent, ...]
 
 
-_LINE: TypeAdapter[Any] = TypeAdapter(
+_LINE_ADAPTER: TypeAdapter[Any] = TypeAdapter(
     Annotated[TraceHead | TraceRequest | TraceEvent, Field(discriminator="kind")]
 )
 
@@ -134,7 +144,7 @@
     Raises
     ------
     SettingsError
-        With every fault, and the line that it is in.
+        With every fault and the number of its line.
     """
     lines, faults = [], []
     try:
@@ -144,7 +154,9 @@
         raise SettingsError((fault,)) from None
     for number, line in enumerate(content, 1):
         try:
-            lines.append(_LINE.validate_python(orjson.loads(line), strict=False))
+            lines.append(
+                _LINE_ADAPTER.validate_python(orjson.loads(line), strict=False)
+            )
         except orjson.JSONDecodeError as error:
             faults.append(FieldError(f"line {number}", error.msg))
         except ValidationError as error:
@@ -153,7 +165,7 @@
                 for f in field_errors(error)
             ]
     if not faults and (not lines or not isinstance(lines[0], TraceHead)):
-        faults.append(FieldError("line 1", "a trace begins with its head"))
+        faults.append(FieldError("line 1", "a trace must begin with its head"))
     if faults:
         raise SettingsError(tuple(faults))
     requests = [line for line in lines if isinstance(line, TraceRequest)]
@@ -166,7 +178,7 @@
 
 
 def write_trace(path: Path, trace: Trace) -> None:
-    """Write a trace."""
+    """Write a trace to a file as JSON lines."""
     lines: Iterable[StrictModel] = (trace.head, *trace.events, *trace.requests)
     with path.open("wb") as stream:
         for line in lines:
@@ -174,7 +186,7 @@
 
 
 def make_prompt(request: TraceRequest) -> str:
-    """Return a prompt of the stated length that shares its head with its family.
+    """Return the prompt of a request; prompts of one family share a prefix.
 
     Examples
     --------
--- a/tools/binary/binary_boot.py
+++ b/tools/binary/binary_boot.py
@@ -1,7 +1,7 @@
-"""Start poplarrelay from within its own file.
+"""Start poplarrelay from the single-file binary.
 
-Extension modules cannot be mapped out of an archive. Each is copied to anonymous
-memory (memfd) and loaded from there, so nothing is written to a file system.
+The dynamic loader cannot map an extension module that is inside an archive. Each one is
+copied to anonymous memory (memfd) and loaded from there, so no file is written.
 """
 
 import os
@@ -14,13 +14,13 @@
 
 
 class MemoryExtensionFinder:
-    """Finds extension modules within the archive, by their full names.
+    """Import finder for the extension modules in the archive.
 
     Notes
     -----
-    The descriptor of a loaded module stays open. The dynamic loader knows a library
-    by its path, here ``/proc/self/fd/N``: were the descriptor closed, its number
-    would be used again and the next module would be taken for this one.
+    The descriptor of a loaded module stays open. The dynamic loader identifies a
+    library by its path, here ``/proc/self/fd/N``. If the descriptor were closed, the
+    next module could get the same number and the loader would return the earlier one.
     """
 
     def __init__(self, archive):
@@ -33,7 +33,7 @@
         }
 
     def find_spec(self, name, path=None, target=None):
-        """Return the spec of an extension module, None for any other."""
+        """Return the spec of an extension module in the archive, or None."""
         if name not in self._names:
             return None
         member = os.path.join(self._archive, EXTENSIONS + name + SUFFIX)
@@ -47,7 +47,7 @@
 
 
 def boot():
-    """Make extension modules importable, then run the command line."""
+    """Make the extension modules importable, then run the command line."""
     sys.meta_path.insert(0, MemoryExtensionFinder(sys.executable))
     from poplarrelay.cli import main
 
--- a/tools/binary/build.py
+++ b/tools/binary/build.py
@@ -1,7 +1,8 @@
 """Build poplarrelay as one file that runs as one process.
 
-The file is a launcher linked with the interpreter's static library, followed by an
-uncompressed archive of the standard library, the packages and poplarrelay.
+The file is a launcher that is linked with the interpreter's static library. It is
+followed by an uncompressed archive of the standard library, the required packages and
+poplarrelay.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
 EXTENSIONS = "extensions/"
-#: Parts of the standard library that a server does not need.
-LEFT_OUT = {
+#: Folders of the standard library and of packages that a server does not need.
+EXCLUDED_FOLDERS = {
     "__pycache__",
     "ensurepip",
     "idlelib",
@@ -39,13 +40,13 @@
     "turtledemo",
     "venv",
 }
-#: A fixed time, so that the same sources give the same file.
+#: Time of all archive members. It is fixed so that equal sources give equal files.
 TIMESTAMP = (2026, 1, 1, 0, 0, 0)
 MODULE_SUFFIX = ".pyc"
 
 
 class BuildError(Exception):
-    """The binary cannot be built on this machine."""
+    """Error for a machine on which the binary cannot be built."""
 
 
 def static_library() -> Path:
@@ -54,7 +55,7 @@
     Raises
     ------
     BuildError
-        If this Python was installed without it.
+        If the Python installation has no static library.
     """
     folder = sysconfig.get_config_var("LIBPL") or ""
     version = sysconfig.get_config_var("LDVERSION") or ""
@@ -62,7 +63,7 @@
     if not library.is_file():
         raise BuildError(
             f"this Python has no static library (libpython{version}.a); "
-            "install one that was built with it, or use the wheel"
+            "install a Python that has one, or use the wheel"
         )
     return library
 
@@ -73,11 +74,11 @@
     Raises
     ------
     BuildError
-        If the compiler is absent or fails.
+        If there is no compiler, or if it fails.
     """
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
-        raise BuildError("a C compiler is needed")
+        raise BuildError("no C compiler (cc or gcc) was found on PATH")
     include = sysconfig.get_path("include")
     libraries = (sysconfig.get_config_var("LIBS") or "").split()
     system = (sysconfig.get_config_var("SYSLIBS") or "").split()
@@ -98,15 +99,17 @@
     ]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     if done.returncode:
-        raise BuildError(f"linking failed:\n{done.stderr}")
+        raise BuildError(f"the launcher cannot be compiled and linked:\n{done.stderr}")
 
 
-def _closure(names: list[str]) -> dict[str, importlib.metadata.Distribution]:
-    """Return the distributions that some need, themselves included."""
+def _required_distributions(
+    names: list[str],
+) -> dict[str, importlib.metadata.Distribution]:
+    """Return distributions and all distributions that they require."""
     found: dict[str, importlib.metadata.Distribution] = {}
-    waiting = list(names)
-    while waiting:
-        name = waiting.pop().lower().replace("_", "-").replace(".", "-")
+    pending = list(names)
+    while pending:
+        name = pending.pop().lower().replace("_", "-").replace(".", "-")
         if name in found:
             continue
         distribution = importlib.metadata.distribution(name)
@@ -114,11 +117,11 @@
         for text in distribution.requires or ():
             needed = Requirement(text)
             if needed.marker is None or needed.marker.evaluate({"extra": ""}):
-                waiting.append(needed.name)
+                pending.append(needed.name)
     return found
 
 
-def _direct() -> list[str]:
+def _direct_requirements() -> list[str]:
     lines = (ROOT / "requirements.in").read_text().splitlines()
     return [line.strip() for line in lines if line.strip()]
 
@@ -134,11 +137,11 @@
     return ".".join([*relative.parts[:-1], relative.name.split(".")[0]])
 
 
-def _standard_library() -> Iterator[tuple[Path, Path]]:
+def _standard_library_files() -> Iterator[tuple[Path, Path]]:
     folder = Path(sysconfig.get_path("stdlib"))
     for path in sorted(folder.rglob("*")):
         relative = path.relative_to(folder)
-        if LEFT_OUT.intersection(relative.parts) or not path.is_file():
+        if EXCLUDED_FOLDERS.intersection(relative.parts) or not path.is_file():
             continue
         if path.suffix == ".py" and not relative.parts[0].startswith("config-"):
             yield path, relative
@@ -146,12 +149,14 @@
             yield path, Path(path.name)
 
 
-def _packages() -> Iterator[tuple[Path, Path]]:
-    for distribution in _closure(_direct()).values():
+def _package_files() -> Iterator[tuple[Path, Path]]:
+    for distribution in _required_distributions(_direct_requirements()).values():
         for entry in distribution.files or ():
             relative = Path(str(entry))
             path = Path(str(distribution.locate_file(entry)))
-            unwanted = LEFT_OUT.intersection(relative.parts) or ".." in relative.parts
+            unwanted = (
+                EXCLUDED_FOLDERS.intersection(relative.parts) or ".." in relative.parts
+            )
             if unwanted or not path.is_file() or relative.suffix == MODULE_SUFFIX:
                 continue
             if relative.parts[0].endswith(".dist-info") and path.name != "METADATA":
@@ -159,7 +164,7 @@
             yield path, relative
 
 
-def _own() -> Iterator[tuple[Path, Path]]:
+def _project_files() -> Iterator[tuple[Path, Path]]:
     for path in sorted((ROOT / "poplarrelay").rglob("*.py")):
         relative = path.relative_to(ROOT)
         if "tests" not in relative.parts:
@@ -167,8 +172,8 @@
     yield HERE / "binary_boot.py", Path("binary_boot.py")
 
 
-def _compile(path: Path, relative: Path) -> bytes:
-    """Return a compiled module that names its file without the build's folder."""
+def _compile_module(path: Path, relative: Path) -> bytes:
+    """Return a compiled module whose recorded path omits the build folder."""
     with tempfile.NamedTemporaryFile(suffix=MODULE_SUFFIX) as target:
         py_compile.compile(
             str(path),
@@ -181,13 +186,13 @@
 
 
 class Archive:
-    """The archive behind the launcher.
+    """Archive that follows the launcher in the binary.
 
     Notes
     -----
-    Members are stored and not compressed, since the module that inflates them
-    would itself have to come out of the archive. Folders get entries of their
-    own: without them a namespace package is not found.
+    Members are not compressed, because the module that decompresses them would itself
+    be in the archive. Each folder has an entry, because a namespace package without one
+    is not found.
     """
 
     def __init__(self, stream: zipfile.ZipFile) -> None:
@@ -205,7 +210,7 @@
             self._write(f"{parent.as_posix()}/", b"")
         if path.suffix == ".py":
             name = relative.with_suffix(MODULE_SUFFIX).as_posix()
-            self._write(name, _compile(path, relative))
+            self._write(name, _compile_module(path, relative))
         elif ".so" in path.suffixes:
             name = f"{EXTENSIONS}{_module_name(relative)}.so"
             self._write(name, path.read_bytes())
@@ -219,28 +224,28 @@
     Parameters
     ----------
     target : pathlib.Path
-        The file to write.
+        File to write.
 
     Raises
     ------
     BuildError
-        If it cannot be built on this machine.
+        If the binary cannot be built on this machine.
     """
     target.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory() as folder:
-        made = Path(folder) / target.name
-        link(made)
-        with zipfile.ZipFile(made, "a", zipfile.ZIP_STORED) as stream:
+        unfinished = Path(folder) / target.name
+        link(unfinished)
+        with zipfile.ZipFile(unfinished, "a", zipfile.ZIP_STORED) as stream:
             archive = Archive(stream)
-            for source in (_own, _packages, _standard_library):
+            for source in (_project_files, _package_files, _standard_library_files):
                 for path, relative in source():
                     archive.add(path, relative)
-        made.chmod(0o755)
-        shutil.move(made, target)
+        unfinished.chmod(0o755)
+        shutil.move(unfinished, target)
 
 
 def main() -> None:
-    """Build ``dist/poplarrelay`` or the file that is named."""
+    """Build ``dist/poplarrelay``, or the file that is given as an argument."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "target", nargs="?", type=Path, default=ROOT / "dist" / "poplarrelay"
--- a/tools/binary/tests/test_binary.py
+++ b/tools/binary/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The binary: one file, one process, nothing unpacked."""
+"""The binary is one file, runs as one process and unpacks no files."""
 
 import os
 import subprocess
@@ -20,7 +20,7 @@
     return target
 
 
-def _children(pid):
+def _child_processes(pid):
     children = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -38,14 +38,14 @@
     assert done.stdout.strip() == b"0.1.0"
 
 
-def test_binary_names_no_folder_of_the_machine_that_built_it(binary):
+def test_binary_does_not_contain_the_path_of_the_build_folder(binary):
     content = binary.read_bytes()
     assert str(Path.cwd()).encode() not in content
 
 
 def test_nodes_serve_as_one_process_each_and_write_no_file(binary, tmp_path):
-    # A host has no disk and the brief forbids a second process. A one-file build
-    # that unpacks itself would show as a child, or as files in the temporary folder.
+    # A host has no disk, and a second process is not allowed. A binary that unpacks
+    # itself would have a child process or leave files in the temporary folder.
     scratch = tmp_path / "scratch"
     scratch.mkdir()
     site = small_site(nodes=2, engines=1, services=1)
@@ -58,9 +58,9 @@
             for process in running.nodes.values():
                 exe = Path(f"/proc/{process.pid}/exe").resolve()
                 assert exe == binary.resolve()
-                assert _children(process.pid) == []
-            left = {path.name for path in running.folder.iterdir()}
-            assert all(name.endswith((".log", ".json")) for name in left)
+                assert _child_processes(process.pid) == []
+            remaining = {path.name for path in running.folder.iterdir()}
+            assert all(name.endswith((".log", ".json")) for name in remaining)
             assert [p for p in scratch.iterdir() if p != running.folder] == []
     finally:
         os.environ.clear()
