--- a/poplarrelay/cli.py
+++ b/poplarrelay/cli.py
@@ -43,7 +43,7 @@
 
 @app.command
 def node(*, settings: Path) -> None:
-    """Run a node until it receives a signal to leave.
+    """Run a node until it is stopped.
 
     Parameters
     ----------
@@ -76,7 +76,7 @@
 
 @app.command
 def entry(*, settings: Path) -> None:
-    """Run an entry node on an operator's platform until it receives a leave signal.
+    """Run an entry node on an operator's platform until it is stopped.
 
     Parameters
     ----------
