--- a/poplarrelay/tables/__init__.py
+++ b/poplarrelay/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Tables of a node: plain rows of data that the systems read and change."""
+"""Entities as rows of plain tables; no logic beyond properties."""
