--- a/bench/deferred_safeguards.py
+++ b/bench/deferred_safeguards.py
@@ -1,9 +1,9 @@
-"""Remove each safeguard of deferred requests in turn, and show which tests notice.
+"""Remove each safeguard of deferred requests in turn and check that its tests fail.
 
-    python -m bench.deferred_safeguards COPY
+    python -m bench.deferred_safeguards CLONE
 
-COPY is a clone of this repository that nobody else uses; its files are changed and put
-back. Exit code 0 only if every removal is noticed.
+CLONE is a separate clone of this repository. The run changes its files and restores
+them. The exit code is 0 only if the tests fail for every removal.
 """
 
 from __future__ import annotations
@@ -16,92 +16,92 @@
 
 
 def _safeguard(
-    name: str, file: str, line: str, without: str, tests: str = "test_copying.py"
+    name: str, file: str, line: str, replacement: str, tests: str = "test_copying.py"
 ) -> Safeguard:
-    return Safeguard(name, f"{SYSTEMS}/{file}", line, without, tests, SYSTEMS)
+    return Safeguard(name, f"{SYSTEMS}/{file}", line, replacement, tests, SYSTEMS)
 
 
 SAFEGUARDS = (
     _safeguard(
-        "an outcome is told once a peer has it",
+        "an outcome is published only after a peer has it",
         "request_copies.py",
         "    return request.outcome if copy is not None and copy.published else None\n",
         "    return request.outcome\n",
     ),
     _safeguard(
-        "the outcome's copy is waited for",
+        "publication waits for the copy of the outcome",
         "request_copies.py",
         "    ended = copy.ended if copied else request.state is RequestState.ENDED\n",
         "    ended = request.state is RequestState.ENDED\n",
     ),
     _safeguard(
-        "peers that failed are left out",
+        "peers that failed are not tried again",
         "request_copies.py",
         "        copy.failed.add(copy.holder)\n",
         "        copy.failed.clear()\n",
     ),
     _safeguard(
-        "a ready outcome is told without any peer",
+        "an outcome is published if no peer accepts a copy",
         "request_copies.py",
         "    if len(copy.failed) >= MAX_TRIES:\n",
         "    if False:\n",
     ),
     _safeguard(
-        "a leaving node has requests copied",
+        "a leaving node sends copies",
         "request_copies.py",
         "    if world.phase not in _SENDING_PHASES:\n",
         "    if world.phase is not NodePhase.SERVING:\n",
     ),
     _safeguard(
-        "a home that was taken for dead asks its holder",
+        "an owner reported as dead queries the copy's holder",
         "gossiping.py",
         "            copy.maybe_taken_over = True\n",
         "            copy.maybe_taken_over = False\n",
     ),
     _safeguard(
-        "peers are asked before a takeover",
+        "peers are queried before a takeover",
         "takeover.py",
         "    return [peer for peer in first if peer.node not in held.ruled_out]\n",
         "    return []\n",
     ),
     _safeguard(
-        "the newest copy goes first",
+        "the newest copy takes precedence",
         "takeover.py",
         "    return own > (status.copies, node)\n",
         "    return True\n",
     ),
     _safeguard(
-        "an old copy replaces none",
+        "an old copy does not replace a newer one",
         "takeover.py",
         "    if held is not None and _supersedes(held.request, message.request):\n",
         "    if False:\n",
     ),
     _safeguard(
-        "a home known as an older process is not gone",
+        "an owner whose row is of an older process is not gone",
         "takeover.py",
         "        return owner.generation > held.generation\n",
         "        return True\n",
     ),
     _safeguard(
-        "an unknown home is not gone",
+        "an unknown owner is not gone",
         "takeover.py",
         "        return now - held.received_at > world.settings.timing.forget_dead_s\n",
         "        return True\n",
     ),
     _safeguard(
-        "both homes come to the same one",
+        "both owners decide for the same node",
         "takeover.py",
         "    return first_owner == [world.incarnation] or message.node < world.node\n",
         "    return True\n",
     ),
     _safeguard(
-        "a copy's word is not an outcome",
+        "the existence of a copy is not an outcome",
         "lookups.py",
         "        return LookupResult(None, copy=True)\n",
         "        return LookupResult(None)\n",
     ),
     _safeguard(
-        "suspected peers are asked",
+        "suspected peers are queried",
         "lookups.py",
         "MemberStatus.LEAVING, MemberStatus.SUSPECT)",
         "MemberStatus.LEAVING)",
@@ -113,7 +113,7 @@
         "",
     ),
     _safeguard(
-        "a request that is handed over is known",
+        "a request in a handover is found",
         "lookups.py",
         "    handed = world.handover.message.requests\n",
         "    handed = ()\n",
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -1,8 +1,9 @@
-"""Remove each safeguard of the at-most-once rule in turn.
+"""Remove each safeguard of the at-most-once rule in turn and check that a test fails.
 
-For each one, the state machine of `poplarrelay.systems.tests.test_at_most_once` runs
-without it. A safeguard whose removal the machine does not notice is either covered
-by a test of its own or not needed.
+Without each safeguard, the state machine of
+`poplarrelay.systems.tests.test_at_most_once` and the tests of
+`poplarrelay.systems.tests.test_safeguards` run. A safeguard is unnecessary, or lacks a
+test, if none of them fails.
 """
 
 from __future__ import annotations
@@ -44,90 +45,90 @@
 
 
 def without_claims(stack: ExitStack) -> None:
-    """Run plain keys at once."""
+    """Run caller keys at once, without a claim."""
 
-    def settle(world, request, form, now):
+    def resolve(world, request, parsed, now):
         key = world.team_key(request)
         world.key_executions[key] = claiming.KeyExecution(
             KeyState.OPEN, request.id, request.work.fingerprint, now
         )
         yield from ()
 
-    _patch(stack, key_resolution, "resolve_caller_key", settle)
+    _patch(stack, key_resolution, "resolve_caller_key", resolve)
 
 
-def without_compare(stack: ExitStack) -> None:
-    """Let the last claim in the log win."""
+def without_claim_comparison(stack: ExitStack) -> None:
+    """Let the last claim in the log win, without a comparison with earlier claims."""
 
-    def fold(world, record, now):
+    def fold_claim(world, record, now):
         claim = record.value
         key = TeamKey.of(claim.team, claim.key)
         world.claims[key] = Claim.from_record(record.offset, claim, now)
 
-    _patch(stack, claiming, "_fold_claim", fold)
+    _patch(stack, claiming, "_fold_claim", fold_claim)
 
 
 def without_incarnation(stack: ExitStack) -> None:
-    """Ask a restarted process about its predecessor's keys."""
+    """Query a restarted process for the keys of its previous incarnation."""
     _patch(stack, claiming, "owner_of", lambda world, node, _: world.members.get(node))
     original = key_ownership.key_reply
 
     def reply(world, query, now):
         if query.incarnation:
             query = query.model_copy(update={"incarnation": world.incarnation})
-        answer = original(world, query, now)
-        if answer.state == "absent" and query.incarnation:
-            return answer.model_copy(update={"state": "released"})
-        return answer
+        key_reply = original(world, query, now)
+        if key_reply.state == "absent" and query.incarnation:
+            return key_reply.model_copy(update={"state": "released"})
+        return key_reply
 
     _patch(stack, key_ownership, "key_reply", reply)
 
 
 def without_release_age(stack: ExitStack) -> None:
-    """Claim anew after any release, also for requests that came before it."""
+    """Claim a key again after any release, also for requests from before it."""
 
-    def take(world, request, key, reply, now):
+    def claim_again(world, request, key, reply, now):
         yield from claiming.claim_key(world, request, world.claims.get(key), now)
 
-    _patch(stack, claiming, "_handle_release", take)
+    _patch(stack, claiming, "_handle_release", claim_again)
 
 
 def without_verification(stack: ExitStack) -> None:
-    """Say "not run" in an outage without asking the peers."""
+    """Answer "not run" in an outage without querying the peers."""
     _patch(stack, claiming, "_query_all_peers", claiming._end_not_run)
 
 
 def without_catching_up(stack: ExitStack) -> None:
-    """Vouch for keys before the claims have been read to their end."""
+    """Answer key queries before the claims have been read to their end."""
     original = claiming._query_all_peers
     original_reply = key_ownership.key_reply
 
-    def caught_up(world):
+    def mark_caught_up(world):
         world.streams[claiming.CLAIMS].caught_up = True
 
-    def verify(world, request, now):
-        caught_up(world)
+    def query_all_peers(world, request, now):
+        mark_caught_up(world)
         yield from original(world, request, now)
 
     def reply(world, query, now):
-        caught_up(world)
+        mark_caught_up(world)
         return original_reply(world, query, now)
 
-    _patch(stack, claiming, "_query_all_peers", verify)
+    _patch(stack, claiming, "_query_all_peers", query_all_peers)
     _patch(stack, key_ownership, "key_reply", reply)
 
 
 def without_running_mark(stack: ExitStack) -> None:
-    """Say "not run" at the deadline although an attempt may have been sent."""
+    """Answer "not run" at the deadline although an attempt may have been sent."""
 
-    def late(request):
+    def not_run_outcome(request):
         return NotRun(NotRunReason.DEADLINE)
 
-    _patch(stack, expiring, "_late_outcome", late)
+    _patch(stack, expiring, "_late_outcome", not_run_outcome)
 
 
 def without_single_attempt(stack: ExitStack) -> None:
-    """Send work that may not be repeated again after a broken attempt."""
+    """Retry non-repeatable work after a broken attempt."""
     original = attempting._may_retry
 
     def may_retry(request, result, now, world):
@@ -137,68 +138,68 @@
     _patch(stack, attempting, "_may_retry", may_retry)
 
 
-def without_ticket_home(stack: ExitStack) -> None:
-    """Run a ticket at whichever node it comes to."""
+def without_ticket_owner(stack: ExitStack) -> None:
+    """Run a ticket at the node that receives it instead of its owner."""
 
-    def settle(world, request, ticket, forwarded, now):
+    def resolve(world, request, ticket, forwarded, now):
         yield from ticketing._open_execution(world, request, now)
 
-    _patch(stack, key_resolution, "resolve_ticket", settle)
+    _patch(stack, key_resolution, "resolve_ticket", resolve)
 
 
 def without_ticket_incarnation(stack: ExitStack) -> None:
-    """Let a restarted process run its predecessor's tickets."""
+    """Let a restarted process run the tickets of its previous incarnation."""
     original = ticketing.resolve_ticket
 
-    def settle(world, request, ticket, forwarded, now):
+    def resolve(world, request, ticket, forwarded, now):
         if ticket.node == world.node:
             ticket = replace(ticket, incarnation=world.incarnation, epoch=0)
         yield from original(world, request, ticket, forwarded, now)
 
-    _patch(stack, key_resolution, "resolve_ticket", settle)
+    _patch(stack, key_resolution, "resolve_ticket", resolve)
 
 
-def without_giving_up_tickets(stack: ExitStack) -> None:
-    """Go on running tickets after they were handed over."""
+def without_ticket_handover(stack: ExitStack) -> None:
+    """Continue to run tickets after their handover."""
 
-    def settle(world, request, ticket, now):
+    def resolve(world, request, ticket, now):
         yield from ticketing._open_execution(world, request, now)
 
-    _patch(stack, ticketing, "_resolve_own", settle)
-    _patch(stack, key_resolution, "_end_unresolved", leave_alone)
+    _patch(stack, ticketing, "_resolve_own", resolve)
+    _patch(stack, key_resolution, "_end_unresolved", _run_while_leaving)
 
 
-def leave_alone(world, request, form, now):
-    """Settle a request as if the node were not leaving."""
+def _run_while_leaving(world, request, parsed, now):
+    """Run a request as if the node were not leaving."""
     yield from ticketing._open_execution(world, request, now)
 
 
 def without_late_forward_check(stack: ExitStack) -> None:
-    """Run a forwarded ticket although its key was told "not run" meanwhile."""
+    """Run a forwarded ticket although a caller got "not run" for it meanwhile."""
 
-    def hold(world, request, now):
+    def open_execution(world, request, now):
         key = world.team_key(request)
         world.key_executions[key] = claiming.KeyExecution(
             KeyState.OPEN, request.id, request.work.fingerprint, now
         )
         yield from ()
 
-    _patch(stack, ticketing, "_open_execution", hold)
+    _patch(stack, ticketing, "_open_execution", open_execution)
 
 
-def without_unknown_for_unread_keys(stack: ExitStack) -> None:
-    """Say "not run" for a key that the node has not looked into."""
+def without_unknown_for_unresolved_keys(stack: ExitStack) -> None:
+    """Answer "not run" for a key that the node has not resolved."""
 
-    def given_up(arrived, not_run, unknown):
+    def not_run_outcome(arrived, not_run, unknown):
         return NotRun(not_run)
 
-    _patch(stack, admitting, "_unchecked_outcome", given_up)
+    _patch(stack, admitting, "_unchecked_outcome", not_run_outcome)
 
 
 def without_freeze_clock(stack: ExitStack) -> None:
-    """Count requests that are read after a freeze as having just come."""
+    """Set the arrival time of requests sent during a freeze to its end."""
 
-    def thaw(self, name):
+    def resume(self, name):
         node = self.nodes[name]
         if node.frozen_at is not None:
             node.frozen_at = None
@@ -206,53 +207,53 @@
                 node.inbox.append(replace(arrived, received=self.now))
             node.unread.clear()
 
-    _patch(stack, FakeSystem, "thaw", thaw)
+    _patch(stack, FakeSystem, "thaw", resume)
 
 
 def without_joining(stack: ExitStack) -> None:
-    """Run a repeated request beside the one that runs already."""
+    """Run a repeated request although the first one is still running."""
 
-    def repeat(world, request, execution, now):
+    def ignore_repetition(world, request, execution, now):
         yield from ()
 
-    _patch(stack, key_resolution, "_resolve_repeated", repeat)
+    _patch(stack, key_resolution, "_resolve_repeated", ignore_repetition)
 
 
 REMOVALS: dict[str, Removal] = {
     "nothing removed": lambda stack: None,
-    "claim before dispatch": without_claims,
-    "compare on the fold": without_compare,
-    "claims belong to an incarnation": without_incarnation,
-    "a release binds older requests": without_release_age,
-    "ask all peers in an outage": without_verification,
-    "catch up before vouching": without_catching_up,
-    "sent means unknown": without_running_mark,
-    "one attempt unless refused": without_single_attempt,
-    "tickets have one home": without_ticket_home,
-    "tickets name an incarnation": without_ticket_incarnation,
-    "handover gives up tickets": without_giving_up_tickets,
-    "late forwards are not run": without_late_forward_check,
-    "unread keys are unknown": without_unknown_for_unread_keys,
-    "repetitions join": without_joining,
-    "arrivals are corrected for freezes": without_freeze_clock,
+    "caller keys are claimed before dispatch": without_claims,
+    "the fold compares claims": without_claim_comparison,
+    "claims belong to one incarnation": without_incarnation,
+    "a release applies to older requests": without_release_age,
+    "all peers are queried in an outage": without_verification,
+    "claims are read before queries are answered": without_catching_up,
+    "requests that were sent end as unknown": without_running_mark,
+    "non-repeatable work is not retried when broken": without_single_attempt,
+    "tickets have one owner": without_ticket_owner,
+    "tickets belong to one incarnation": without_ticket_incarnation,
+    "a handover passes tickets on": without_ticket_handover,
+    "late forwarded requests do not run": without_late_forward_check,
+    "requests with unresolved keys end as unknown": without_unknown_for_unresolved_keys,
+    "repeated requests join the running one": without_joining,
+    "arrival times are corrected for freezes": without_freeze_clock,
 }
 
 
 def _directed_failures() -> list[str]:
-    """Return the directed tests that fail."""
+    """Return the names of the tests of `test_safeguards` that fail."""
     failed = []
     for name, test in vars(test_safeguards).items():
         if not name.startswith("test_"):
             continue
         try:
             test(test_safeguards.make_system())
-        except Exception:  # any failure of a test counts
+        except Exception:  # a test can fail with any exception
             failed.append(name)
     return failed
 
 
 def _machine_failure() -> str | None:
-    """Return the state machine's first violation."""
+    """Return the first violation that the state machine finds, or None."""
     try:
         run_state_machine_as_test(
             AtMostOnce,
@@ -269,21 +270,21 @@
         )
     except AssertionError as error:
         return (str(error) or "violated").splitlines()[0]
-    except Exception as error:  # a removal may break the code around it
+    except Exception as error:  # a removal can break the surrounding code
         return f"{type(error).__name__}: {error}"
     return None
 
 
 def try_without(name: str) -> tuple[str | None, list[str]]:
-    """Return what notices that a safeguard is gone."""
+    """Remove a safeguard; return the violation and the names of the failing tests."""
     with ExitStack() as stack:
         REMOVALS[name](stack)
         return _machine_failure(), _directed_failures()
 
 
 def main() -> int:
-    """Print what notices each removal; exit code 1 if one is not noticed."""
-    good = True
+    """Print the failures caused by each removal; return 1 if a removal causes none."""
+    all_noticed = True
     with ProcessPoolExecutor(WORKERS) as pool:
         results = pool.map(try_without, REMOVALS)
         for name, (violation, tests) in zip(REMOVALS, results, strict=True):
@@ -291,9 +292,9 @@
             for test in tests:
                 print(f"    {test}")
             noticed = bool(violation or tests)
-            good = good and noticed == (name != "nothing removed")
+            all_noticed = all_noticed and noticed == (name != "nothing removed")
             sys.stdout.flush()
-    return 0 if good else 1
+    return 0 if all_noticed else 1
 
 
 if __name__ == "__main__":
