--- a/bench/campaign.py
+++ b/bench/campaign.py
@@ -1,8 +1,8 @@
-"""Bookings under a seeded mix of failures, on real processes.
+"""Send bookings to real processes under a seeded sequence of failures.
 
-Counts what became of each booking as its caller was told, against the runs that the
-desks counted. Both schemes of keys can be measured, with none of the failures, with
-one kind, or with all.
+The campaign compares the outcome that each caller received with the number of runs
+that the booking services (desks) counted. It runs with one of the two key schemes, and
+without failures, with one kind of failure, or with a mix of all kinds.
 """
 
 from __future__ import annotations
@@ -36,57 +36,63 @@
 DESKS = 2
 CALLERS = 24
 DEADLINE_S = 8.0
-#: Seconds within which an answer counts as in time.
+#: Seconds from the start of a booking within which its answer is in time.
 IN_TIME_S = 2.0
-#: Share of the bookings that are sent to three nodes at once under one key.
-TRIPLED = 0.1
+#: Fraction of the bookings that three callers send at the same time under one key.
+TRIPLED_FRACTION = 0.1
 
 
-class Scheme(Enum):
-    """How a booking's key is made."""
+class KeyScheme(Enum):
+    """Source of a booking's idempotency key: the caller, or a ticket of a node."""
 
-    PLAIN = "plain"
+    CALLER_KEY = "plain"
     TICKET = "ticket"
 
 
 @dataclass(slots=True)
 class Tally:
-    """What callers were told, by booking.
+    """Outcomes that the callers received, by booking.
 
     Attributes
     ----------
-    told : dict of str to list of str
-        The final words on each booking, one for each caller that asked.
+    outcomes : dict of str to list of str
+        Outcomes of each booking, one for each caller that requested it.
+    seconds : list of float
+        Seconds from the start of the booking to each answer.
     """
 
-    told: dict[str, list[str]] = field(default_factory=dict)
+    outcomes: dict[str, list[str]] = field(default_factory=dict)
     seconds: list[float] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def add(self, name: str, word: str, seconds: float) -> None:
-        """Note a final word."""
+    def add(self, name: str, outcome: str, seconds: float) -> None:
+        """Record the outcome that a caller received."""
         with self.lock:
-            self.told.setdefault(name, []).append(word)
-            if word == "answered":
+            self.outcomes.setdefault(name, []).append(outcome)
+            if outcome == "answered":
                 self.seconds.append(seconds)
 
 
-def _book(site: RunningSite, scheme: Scheme, number: int, tally: Tally) -> None:
+def _book_seat(site: RunningSite, scheme: KeyScheme, number: int, tally: Tally) -> None:
     rng = random.Random(number)
     client = site.client("alpha", seed=number)
     body = json.dumps({"seat": number}).encode()
     name = call_name("POST", "/confirm", body)
     started = time.monotonic()
     try:
-        key = f"seat-{number}" if scheme is Scheme.PLAIN else client.new_ticket()[1]
+        key = (
+            f"seat-{number}"
+            if scheme is KeyScheme.CALLER_KEY
+            else client.new_ticket()[1]
+        )
     except ClientError:
         tally.add(name, "not_run", 0.0)
         return
-    callers = 3 if rng.random() < TRIPLED else 1
+    callers = 3 if rng.random() < TRIPLED_FRACTION else 1
 
-    def ask(index: int) -> None:
-        # A lone caller lets the library choose the ticket, as callers do.
-        alone = callers == 1 and scheme is Scheme.TICKET
+    def send(index: int) -> None:
+        # If there is one caller only, the client library chooses the ticket, as usual.
+        single = callers == 1 and scheme is KeyScheme.TICKET
         caller = site.client("alpha", seed=number * 10 + index)
         try:
             caller.call_service(
@@ -95,16 +101,16 @@
                 body,
                 "POST",
                 DEADLINE_S,
-                None if alone else key,
+                None if single else key,
             )
-            word = "answered"
+            outcome = "answered"
         except AnswerNotRun as failure:
-            word = "not_run" if failure.problem else "not_reached"
+            outcome = "not_run" if failure.problem else "not_reached"
         except ClientError:
-            word = "unknown"
-        tally.add(name, word, time.monotonic() - started)
+            outcome = "unknown"
+        tally.add(name, outcome, time.monotonic() - started)
 
-    threads = [threading.Thread(target=ask, args=(i,)) for i in range(callers)]
+    threads = [threading.Thread(target=send, args=(i,)) for i in range(callers)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -121,7 +127,7 @@
     node.thaw()
 
 
-def _crash(site: RunningSite, rng: random.Random) -> None:
+def _crash_and_restart(site: RunningSite, rng: random.Random) -> None:
     name = rng.choice(list(site.nodes))
     site.nodes[name].kill()
     time.sleep(rng.uniform(0.2, 1.0))
@@ -129,7 +135,7 @@
     time.sleep(1.5)
 
 
-def _leave(site: RunningSite, rng: random.Random) -> None:
+def _drain_and_restart(site: RunningSite, rng: random.Random) -> None:
     name = rng.choice(list(site.nodes))
     site.nodes[name].signal(signal.SIGTERM)
     site.nodes[name].popen.wait(timeout=20.0)
@@ -137,26 +143,26 @@
     time.sleep(1.5)
 
 
-def _log_outage(site: RunningSite, rng: random.Random) -> None:
+def _interrupt_log(site: RunningSite, rng: random.Random) -> None:
     site.faults("log", **rng.choice([{"refuse": True}, {"hang_s": 3.0}]))
     time.sleep(rng.uniform(1.0, 4.0))
     site.faults("log")
 
 
-def _lost_appends(site: RunningSite, rng: random.Random) -> None:
+def _lose_appends(site: RunningSite, rng: random.Random) -> None:
     site.faults("log", lose_answers=5, lost_s=1.5)
     time.sleep(2.0)
     site.faults("log")
 
 
-def _crash_in_append(site: RunningSite, rng: random.Random) -> None:
+def _crash_during_append(site: RunningSite, rng: random.Random) -> None:
     site.faults("log", slow_s=0.3)
     time.sleep(0.3)
-    _crash(site, rng)
+    _crash_and_restart(site, rng)
     site.faults("log")
 
 
-def _lost_answers(site: RunningSite, rng: random.Random) -> None:
+def _lose_answers(site: RunningSite, rng: random.Random) -> None:
     desk = f"desk-{rng.randint(1, DESKS)}"
     site.faults(desk, lose_answers=2, lost_s=4.0)
     time.sleep(1.0)
@@ -165,16 +171,16 @@
 Failure = Callable[[RunningSite, random.Random], None]
 FAILURES: dict[str, Failure] = {
     "frozen": _freeze,
-    "crash": _crash,
-    "leave": _leave,
-    "outage": _log_outage,
-    "append": _lost_appends,
-    "midappend": _crash_in_append,
-    "answer": _lost_answers,
+    "crash": _crash_and_restart,
+    "leave": _drain_and_restart,
+    "outage": _interrupt_log,
+    "append": _lose_appends,
+    "midappend": _crash_during_append,
+    "answer": _lose_answers,
 }
 
 
-def _disturb(
+def _inject_failures(
     site: RunningSite, scenario: str, seed: int, stop: threading.Event
 ) -> None:
     rng = random.Random(seed)
@@ -190,64 +196,66 @@
         FAILURES[name](site, rng)
 
 
-# -- the run -----------------------------------------------------------------
+# -- campaign ----------------------------------------------------------------
 
 
 def _send_all(
-    site: RunningSite, scheme: Scheme, requests: int, rate: float, tally: Tally
+    site: RunningSite, scheme: KeyScheme, requests: int, rate: float, tally: Tally
 ) -> None:
     numbers = iter(range(requests))
     lock = threading.Lock()
     began = time.monotonic()
 
-    def work() -> None:
+    def send_next() -> None:
         while True:
             with lock:
                 number = next(numbers, None)
             if number is None:
                 return
             time.sleep(max(0.0, began + number / rate - time.monotonic()))
-            _book(site, scheme, number, tally)
+            _book_seat(site, scheme, number, tally)
 
-    threads = [threading.Thread(target=work) for _ in range(CALLERS)]
+    threads = [threading.Thread(target=send_next) for _ in range(CALLERS)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
 
 
-def _judge(tally: Tally, runs: dict[str, int]) -> dict[str, object]:
-    words = Counter(word for told in tally.told.values() for word in told)
-    doubled = sum(1 for name in tally.told if runs.get(name, 0) > 1)
+def _evaluate(tally: Tally, runs: dict[str, int]) -> dict[str, object]:
+    counts = Counter(
+        outcome for outcomes in tally.outcomes.values() for outcome in outcomes
+    )
+    doubled = sum(1 for name in tally.outcomes if runs.get(name, 0) > 1)
     false_not_run = sum(
         1
-        for name, told in tally.told.items()
-        if "not_run" in told and runs.get(name, 0) > 0
+        for name, outcomes in tally.outcomes.items()
+        if "not_run" in outcomes and runs.get(name, 0) > 0
     )
-    lost = sum(
+    answered_without_run = sum(
         1
-        for name, told in tally.told.items()
-        if "answered" in told and runs.get(name, 0) == 0
+        for name, outcomes in tally.outcomes.items()
+        if "answered" in outcomes and runs.get(name, 0) == 0
     )
-    asked = sum(words.values())
+    requested = sum(counts.values())
     in_time = sum(1 for seconds in tally.seconds if seconds <= IN_TIME_S)
     ordered = sorted(tally.seconds) or [0.0]
     return {
-        "bookings": len(tally.told),
-        "asked": asked,
-        "words": dict(words),
+        "bookings": len(tally.outcomes),
+        "asked": requested,
+        "words": dict(counts),
         "doubled": doubled,
         "false_not_run": false_not_run,
-        "answered_without_run": lost,
-        "answered_share": round(words["answered"] / asked, 4),
-        "in_time_share": round(in_time / asked, 4),
+        "answered_without_run": answered_without_run,
+        "answered_share": round(counts["answered"] / requested, 4),
+        "in_time_share": round(in_time / requested, 4),
         "median_ms": round(1000 * ordered[len(ordered) // 2], 1),
         "p99_ms": round(1000 * ordered[int(0.99 * (len(ordered) - 1))], 1),
     }
 
 
 def run(
-    scheme: Scheme, scenario: str, requests: int, rate: float, seed: int
+    scheme: KeyScheme, scenario: str, requests: int, rate: float, seed: int
 ) -> dict[str, object]:
     """Run one campaign and return its figures."""
     tally, stop = Tally(), threading.Event()
@@ -255,16 +263,18 @@
         small_site(nodes=NODES, engines=1, services=DESKS), settings=SETTINGS
     ) as site:
         appends = site.get(site.platform["log"], "/statistics")
-        disturber = threading.Thread(target=_disturb, args=(site, scenario, seed, stop))
-        disturber.start()
+        injector = threading.Thread(
+            target=_inject_failures, args=(site, scenario, seed, stop)
+        )
+        injector.start()
         began = time.monotonic()
         _send_all(site, scheme, requests, rate, tally)
         elapsed = time.monotonic() - began
         stop.set()
-        disturber.join()
+        injector.join()
         site.faults("log")
         time.sleep(DEADLINE_S)
-        figures = _judge(tally, site.runs())
+        figures = _evaluate(tally, site.runs())
         after = site.get(site.platform["log"], "/statistics")
     figures["seconds"] = round(elapsed, 1)
     figures["appends"] = after["appends"] - appends["appends"]
@@ -272,9 +282,9 @@
 
 
 def main() -> int:
-    """Run a campaign; exit code 1 if a booking was doubled or a word was false."""
+    """Run a campaign; return 1 if a booking ran twice or a "not run" was false."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--scheme", choices=[s.value for s in Scheme], required=True)
+    parser.add_argument("--scheme", choices=[s.value for s in KeyScheme], required=True)
     scenarios = ["none", "mix", "outage60", *FAILURES]
     parser.add_argument("--scenario", choices=scenarios, required=True)
     parser.add_argument("--requests", type=int, default=2000)
@@ -282,7 +292,7 @@
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     figures = run(
-        Scheme(options.scheme),
+        KeyScheme(options.scheme),
         options.scenario,
         options.requests,
         options.rate,
--- a/bench/deferred_campaign.py
+++ b/bench/deferred_campaign.py
@@ -1,11 +1,12 @@
-"""Deferred requests on nodes that are paused, killed, told to leave and restarted.
+"""Run deferred requests on nodes that are paused, killed, drained and restarted.
 
     python -m bench.deferred_campaign FIRST LAST
 
-plays one round for each seed from FIRST to LAST on one site, and checks that no node
-takes back what a caller has fetched, that none denies an accepted request, and that
-each has its outcome at every node once all run again. One node at most is killed in a
-round: a second crash may take the only copy.
+runs one round for each seed from FIRST to LAST on one site. A round is broken if a node
+reports another outcome than the one that a caller has fetched before, if a node reports
+an accepted request as absent, or if a node has no outcome of a request after all nodes
+run again. At most one node is killed in a round, because a second crash can remove the
+only copy of a request.
 """
 
 from __future__ import annotations
@@ -27,49 +28,53 @@
 
 NODES = 5
 CALLERS = 4
-#: Seconds of a round, and between two steps of a caller.
+#: Seconds of a round, and seconds between two steps of a caller.
 ROUND_S = 8.0
 STEP_S = 0.05
-#: Seconds within which every node tells an outcome after a round.
+#: Seconds after a round within which every node must report all outcomes.
 SETTLE_S = 20.0
 HEADERS = {"Authorization": f"Bearer {team_token('alpha')}"}
-OPEN = ("running", "not known")
+NO_OUTCOME = ("running", "not known")
 
 
 @dataclass(slots=True)
-class Deferral:
-    """A request that was accepted, and the outcome that was fetched."""
+class DeferredRequest:
+    """An accepted request and its outcome, None until a caller has fetched it."""
 
     id: str
-    told: str | None = None
+    outcome: str | None = None
 
 
 @dataclass(slots=True)
 class Round:
-    """What the callers of one round know.
+    """Accepted requests and received statuses of one round.
 
     Attributes
     ----------
-    words : Counter of str
-        Answers of all nodes.
+    statuses : Counter of str
+        Number of replies of all nodes, by status.
+    violations : list of str
+        Descriptions of wrong or missing statuses.
+    ended : threading.Event
+        Set when the callers must stop.
     """
 
     site: RunningSite
     rng: Random
-    deferrals: list[Deferral] = field(default_factory=list)
-    words: Counter[str] = field(default_factory=Counter)
+    accepted: list[DeferredRequest] = field(default_factory=list)
+    statuses: Counter[str] = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
-    over: threading.Event = field(default_factory=threading.Event)
+    ended: threading.Event = field(default_factory=threading.Event)
 
-    def call_until_over(self, seed: int) -> None:
-        """Defer requests and ask for earlier ones, until the round is over."""
+    def send_requests(self, seed: int) -> None:
+        """Defer requests and look up earlier ones until the round has ended."""
         rng = Random(seed)
-        while not self.over.wait(STEP_S):
+        while not self.ended.wait(STEP_S):
             node = rng.choice(list(self.site.nodes))
-            if not self.deferrals or rng.random() < 0.3:
+            if not self.accepted or rng.random() < 0.3:
                 self._defer(node, rng)
             else:
-                self.check(node, rng.choice(self.deferrals))
+                self.check(node, rng.choice(self.accepted))
 
     def _defer(self, node: str, rng: Random) -> None:
         body = {
@@ -85,14 +90,14 @@
         except CallFailed:
             return
         if reply.status == HTTPStatus.ACCEPTED:
-            self.deferrals.append(Deferral(reply.value["id"]))
+            self.accepted.append(DeferredRequest(reply.value["id"]))
 
     def _address(self, node: str) -> str:
         return self.site.nodes[node].address
 
-    def ask(self, node: str, deferral: Deferral) -> str | None:
-        """Return a node's word, None if it gives none."""
-        path = f"/v1/requests/{deferral.id}"
+    def fetch_status(self, node: str, deferred: DeferredRequest) -> str | None:
+        """Return the status that a node reports, None if it reports none."""
+        path = f"/v1/requests/{deferred.id}"
         try:
             reply = self.site.http_client.call(
                 "GET", self._address(node), path, None, 8.0, HEADERS
@@ -105,27 +110,27 @@
             return "absent"
         return "not known" if reply.status == HTTPStatus.BAD_GATEWAY else None
 
-    def check(self, node: str, deferral: Deferral) -> None:
-        """Ask a node, and compare its word with what was told before."""
-        before = deferral.told
-        word = self.ask(node, deferral)
-        self.words[str(word)] += 1
-        if word == "absent" or (before and word not in (before, "not known", None)):
-            self.violations.append(f"{deferral.id}: {before}, then {word} at {node}")
-        elif word is not None and word not in OPEN:
-            deferral.told = word
-
-    def disturb(self) -> list[str]:
-        """Pause, kill, stop and restart nodes, and return what was done."""
+    def check(self, node: str, deferred: DeferredRequest) -> None:
+        """Look up a request at a node and compare the result with earlier ones."""
+        before = deferred.outcome
+        status = self.fetch_status(node, deferred)
+        self.statuses[str(status)] += 1
+        if status == "absent" or (before and status not in (before, "not known", None)):
+            self.violations.append(f"{deferred.id}: {before}, then {status} at {node}")
+        elif status is not None and status not in NO_OUTCOME:
+            deferred.outcome = status
+
+    def inject_failures(self) -> list[str]:
+        """Pause, kill, drain and restart nodes; return the list of these actions."""
         until = time.monotonic() + ROUND_S
-        done: list[str] = []
+        actions: list[str] = []
         kill = self.rng.choice(list(self.site.nodes))
         kill_at = until - ROUND_S * self.rng.uniform(0.4, 0.8)
         while time.monotonic() < until:
             time.sleep(self.rng.uniform(0.1, 0.8))
             if time.monotonic() >= kill_at and kill:
                 self.site.nodes[kill].kill()
-                done.append(f"kill {kill}")
+                actions.append(f"kill {kill}")
                 time.sleep(self.rng.choice((0.1, 1.0, 4.0)))
                 self.site.start_node(kill)
                 kill = ""
@@ -133,11 +138,11 @@
             name = self.rng.choice([n for n in self.site.nodes if n != kill])
             if self.rng.random() < 0.75:
                 self._pause(name, self.rng.choice((0.3, 0.9, 1.2, 3.0)))
-                done.append(f"pause {name}")
+                actions.append(f"pause {name}")
             else:
                 self._restart(name)
-                done.append(f"leave {name}")
-        return done
+                actions.append(f"leave {name}")
+        return actions
 
     def _pause(self, name: str, seconds: float) -> None:
         self.site.nodes[name].freeze()
@@ -150,26 +155,29 @@
         process.popen.wait(timeout=30.0)
         self.site.start_node(name)
 
-    def settle(self) -> None:
-        """Let all nodes run, and wait until each tells every outcome."""
+    def wait_for_outcomes(self) -> None:
+        """Wait until all nodes run and each of them reports every outcome."""
         for name in self.site.nodes:
             wait_until(lambda name=name: self.site.ready(name), 30.0, name)
         self.site.wait_ready()
         until = time.monotonic() + SETTLE_S
-        for deferral in self.deferrals:
+        for deferred in self.accepted:
             for name in self.site.nodes:
-                word = self.ask(name, deferral)
-                while word in (None, *OPEN) and time.monotonic() < until:
+                status = self.fetch_status(name, deferred)
+                while status in (None, *NO_OUTCOME) and time.monotonic() < until:
                     time.sleep(0.2)
-                    word = self.ask(name, deferral)
-                if word in (None, "absent", *OPEN) or deferral.told not in (None, word):
+                    status = self.fetch_status(name, deferred)
+                if status in (None, "absent", *NO_OUTCOME) or deferred.outcome not in (
+                    None,
+                    status,
+                ):
                     self.violations.append(
-                        f"{deferral.id}: {deferral.told}, in the end {word} at {name}"
+                        f"{deferred.id}: {deferred.outcome}, finally {status} at {name}"
                     )
 
 
-def alone(site: RunningSite) -> set[str]:
-    """Return the requests that were accepted without a copy."""
+def requests_without_copy(site: RunningSite) -> set[str]:
+    """Return the ids of the requests that were accepted without a copy."""
     first: dict[str, bool] = {}
     for process in site.nodes.values():
         for line in process.log_lines():
@@ -178,43 +186,47 @@
     return {request for request, copied in first.items() if not copied}
 
 
-def play(site: RunningSite, seed: int) -> Round:
-    """Play a round."""
-    played = Round(site, Random(seed))
+def run_round(site: RunningSite, seed: int) -> Round:
+    """Run a round, print its result and return it."""
+    campaign_round = Round(site, Random(seed))
     threads = [
-        threading.Thread(target=played.call_until_over, args=(seed * 100 + number,))
+        threading.Thread(
+            target=campaign_round.send_requests, args=(seed * 100 + number,)
+        )
         for number in range(CALLERS)
     ]
     for thread in threads:
         thread.start()
-    done = played.disturb()
-    played.over.set()
+    actions = campaign_round.inject_failures()
+    campaign_round.ended.set()
     for thread in threads:
         thread.join()
-    played.settle()
-    without = alone(site)
-    found = [v for v in played.violations if v.split(":")[0] not in without]
+    campaign_round.wait_for_outcomes()
+    without_copy = requests_without_copy(site)
+    found = [
+        v for v in campaign_round.violations if v.split(":")[0] not in without_copy
+    ]
     print(
-        f"seed {seed}: {'BROKEN' if found else 'passed'}; {', '.join(done)}; "
-        f"{len(played.deferrals)} accepted, "
-        f"{sum(d.id in without for d in played.deferrals)} without a copy; "
-        f"words {dict(played.words)}",
+        f"seed {seed}: {'BROKEN' if found else 'passed'}; {', '.join(actions)}; "
+        f"{len(campaign_round.accepted)} accepted, "
+        f"{sum(d.id in without_copy for d in campaign_round.accepted)} without a copy; "
+        f"statuses {dict(campaign_round.statuses)}",
         flush=True,
     )
-    for violation in played.violations:
-        where = "" if violation in found else " (accepted without a copy)"
-        print(f"  {violation}{where}", flush=True)
-    played.violations = found
-    return played
+    for violation in campaign_round.violations:
+        note = "" if violation in found else " (accepted without a copy)"
+        print(f"  {violation}{note}", flush=True)
+    campaign_round.violations = found
+    return campaign_round
 
 
 def main() -> int:
-    """Play the seeds and return the exit code."""
+    """Run a round for each seed and return the exit code."""
     first, last = int(sys.argv[1]), int(sys.argv[2])
     broken = 0
     with run_site(small_site(nodes=NODES, engines=4), settings=SHORT_TIMEOUTS) as site:
         for seed in range(first, last + 1):
-            broken += bool(play(site, seed).violations)
+            broken += bool(run_round(site, seed).violations)
     print(f"{broken} of {last - first + 1} rounds broken")
     return 1 if broken else 0
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,4 +1,8 @@
-"""Time until no node names one that is dead, frozen or leaving; false suspicions."""
+"""Measure how long a failed node stays listed, and count false suspicions.
+
+The measured node is killed, frozen or drained. The time ends when no other node
+lists it as alive and ready.
+"""
 
 from __future__ import annotations
 
@@ -18,9 +22,9 @@
 SETTINGS = {"timing": {"drain_s": 4.0, "address_ttl_s": 1.0}}
 
 
-def _named(site: RunningSite, asked: str) -> set[str]:
-    """Return the nodes that another one takes for ready."""
-    status = site.status(asked) or {"members": {}}
+def _list_ready_nodes(site: RunningSite, queried: str) -> set[str]:
+    """Return the nodes that the queried node lists as alive and ready."""
+    status = site.status(queried) or {"members": {}}
     return {
         name
         for name, member in status["members"].items()
@@ -28,15 +32,17 @@
     }
 
 
-def _time_to_forget(site: RunningSite, victim: str) -> float:
+def _measure_removal(site: RunningSite, victim: str) -> float:
     began = time.monotonic()
-    waiting = {name for name in site.nodes if name != victim}
-    while waiting and time.monotonic() - began < 20.0:
-        waiting = {name for name in waiting if victim in _named(site, name)}
+    listing_nodes = {name for name in site.nodes if name != victim}
+    while listing_nodes and time.monotonic() - began < 20.0:
+        listing_nodes = {
+            name for name in listing_nodes if victim in _list_ready_nodes(site, name)
+        }
     return time.monotonic() - began
 
 
-def _suspicions(site: RunningSite) -> int:
+def _count_suspicions(site: RunningSite) -> int:
     return sum(
         1
         for process in site.nodes.values()
@@ -45,41 +51,41 @@
     )
 
 
-def _one(site: RunningSite, how: str, victim: str) -> float:
+def _fail_node(site: RunningSite, failure: str, victim: str) -> float:
     process = site.nodes[victim]
-    if how == "frozen":
+    if failure == "frozen":
         process.freeze()
-        seconds = _time_to_forget(site, victim)
+        seconds = _measure_removal(site, victim)
         process.thaw()
         return seconds
-    if how == "leaving":
+    if failure == "leaving":
         body = {"within_s": 4.0}
         site.post(site.peers_address(victim), "/operator/drain", body)
-        seconds = _time_to_forget(site, victim)
+        seconds = _measure_removal(site, victim)
         process.popen.wait(timeout=20.0)
     else:
         process.kill()
-        seconds = _time_to_forget(site, victim)
+        seconds = _measure_removal(site, victim)
     site.start_node(victim)
     return seconds
 
 
 def main() -> int:
-    """Print the figures as JSON."""
+    """Run the measurements and print the figures as JSON."""
     figures: dict[str, object] = {}
     with run_site(small_site(nodes=NODES, engines=1), settings=SETTINGS) as site:
-        before = _suspicions(site)
+        before = _count_suspicions(site)
         time.sleep(QUIET_S)
-        figures["false_suspicions_in_20_s"] = _suspicions(site) - before
-        for how in ("dead", "frozen", "leaving"):
-            taken = []
+        figures["false_suspicions_in_20_s"] = _count_suspicions(site) - before
+        for failure in ("dead", "frozen", "leaving"):
+            removal_times = []
             for index in range(ROUNDS):
-                taken.append(_one(site, how, f"node-{2 + index}"))
+                removal_times.append(_fail_node(site, failure, f"node-{2 + index}"))
                 wait_until(lambda: all(site.ready(node) for node in site.nodes))
                 site.wait_ready()
-            figures[how] = {
-                "median_s": round(statistics.median(taken), 2),
-                "longest_s": round(max(taken), 2),
+            figures[failure] = {
+                "median_s": round(statistics.median(removal_times), 2),
+                "longest_s": round(max(removal_times), 2),
                 "rounds": ROUNDS,
             }
     print(json.dumps(figures, indent=2))
--- a/bench/membership_at_size.py
+++ b/bench/membership_at_size.py
@@ -1,8 +1,8 @@
-"""What nodes know of each other as their number grows.
+"""Measure how gossip between entry nodes works as their number grows.
 
-Plays the real tables and datagrams of entry nodes over a path in memory, with loss,
-delay and nodes that are killed. No processor limit, so it shows what the protocol
-does, not what a busy host makes of it.
+The simulation runs the real tables and datagrams of entry nodes over a network in
+memory, with packet loss, delay and killed nodes. The processor is not limited, so the
+figures show the behaviour of the protocol and not the effects of a busy host.
 
     python -m bench.membership_at_size 9 61 195 410 --loss 0.025 --seed 1 --json
 """
@@ -22,20 +22,20 @@
 
 __all__ = ["Figures", "measure"]
 
-#: Seconds for the nodes to find each other, and of quiet before anything happens.
+#: Seconds until the nodes have found each other, and seconds without any change.
 SETTLE_S = 6.0
 QUIET_S = 3.0
-#: Seconds after the changes and after the deaths.
+#: Seconds of observation after the state changes, and again after the kills.
 AFTER_S = 4.0
 #: Nodes that change their state, and nodes that are killed.
 CHANGED, KILLED = 8, 5
-#: Seconds over which a team's use is compared, as quotas are judged.
-USE_WINDOW_S = 8.0
+#: The error of a team's usage is relative to its usage in these seconds, as for quotas.
+USAGE_WINDOW_S = 8.0
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a run showed; `sent_kb_s`, `messages_s`, `cpu_percent` are a node's."""
+    """Results of a run; `sent_kb_s`, `messages_s` and `cpu_percent` are per node."""
 
     nodes: int
     false_deaths_percent: float
@@ -47,64 +47,66 @@
     use_error_percent: float
 
 
-def _quantile(values: list[float], share: float) -> float:
+def _quantile(values: list[float], fraction: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
+    return (
+        ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
+    )
 
 
-def _use_error(network: Network) -> float:
-    """Return how far the use of a team is from what nodes believe, in percent."""
-    truth = sum(
+def _usage_error(network: Network) -> float:
+    """Return the mean error of a team's usage in the nodes' tables, in percent."""
+    actual = sum(
         network.tables[host].me.spent[TeamId("team-0")] for host in network.alive
     )
-    whole = USE_PER_S * USE_WINDOW_S * len(network.alive)
+    total = USE_PER_S * USAGE_WINDOW_S * len(network.alive)
     errors = []
     for host in network.alive[:: max(1, network.count // 20)]:
         table = network.tables[host]
-        told = (table.me, *table.counted(network.now))
-        believed = sum(each.spent.get(TeamId("team-0"), 0.0) for each in told)
-        errors.append(abs(truth - believed) / whole)
+        rows = (table.me, *table.counted(network.now))
+        reported = sum(each.spent.get(TeamId("team-0"), 0.0) for each in rows)
+        errors.append(abs(actual - reported) / total)
     return 100 * sum(errors) / len(errors)
 
 
-def _spread(network: Network, victims: list[str], seen: Any) -> float:
-    """Return the time until 99 of 100 nodes see what happened to some, in s."""
+def _detection_time(network: Network, victims: list[str], sees: Any) -> float:
+    """Return the time until 99 of 100 nodes see the event at each victim, in s."""
     began = network.now
     waiting = {(host, v) for host in network.alive for v in victims if host != v}
-    whole = len(waiting)
+    total = len(waiting)
     times: list[float] = []
     for _ in network.run(AFTER_S):
-        done = {pair for pair in waiting if seen(*pair)}
-        waiting -= done
-        times += [network.now - began] * len(done)
-    times += [float("inf")] * (whole - len(times))
+        detected = {pair for pair in waiting if sees(*pair)}
+        waiting -= detected
+        times += [network.now - began] * len(detected)
+    times += [float("inf")] * (total - len(times))
     return _quantile(times, 0.99)
 
 
 def measure(count: int, loss: float = 0.0, seed: int = 1) -> Figures:
-    """Play one number of nodes.
+    """Simulate a number of nodes and return the figures.
 
     Parameters
     ----------
     count : int
-        How many nodes.
+        Number of nodes.
     loss : float
-        Part of all datagrams that is lost.
+        Fraction of the datagrams that is lost.
     seed : int
-        Of all that is drawn.
+        Seed of the random generators.
     """
     network = Network.starting(count, loss, seed)
     for _ in network.run(SETTLE_S):
         pass
     sent = [(n.sent_bytes, n.sent_datagrams) for n in network.nodes.values()]
-    cpu = time.process_time()
-    wrong = pairs = 0
+    cpu_s = time.process_time()
+    false_deaths = pairs = 0
     errors = []
     for _ in network.run(QUIET_S):
         found = network.count_false_deaths()
-        wrong, pairs = wrong + found[0], pairs + found[1]
-        errors.append(_use_error(network))
-    cpu = time.process_time() - cpu
+        false_deaths, pairs = false_deaths + found[0], pairs + found[1]
+        errors.append(_usage_error(network))
+    cpu_s = time.process_time() - cpu_s
     nodes = network.nodes.values()
     sent_bytes = sum(n.sent_bytes for n in nodes) - sum(b for b, _ in sent)
     datagrams = sum(n.sent_datagrams for n in nodes) - sum(d for _, d in sent)
@@ -122,39 +124,39 @@
         alive = network.tables[host].alive(network.now)
         return all(row.host != victim for row in alive)
 
-    news_s = _spread(network, changed, sees_change)
+    change_s = _detection_time(network, changed, sees_change)
     killed = network.rng.sample(network.alive, min(KILLED, count // 3))
     network.dead |= set(killed)
-    detect_s = _spread(network, killed, sees_death)
+    detect_s = _detection_time(network, killed, sees_death)
     return Figures(
         nodes=count,
-        false_deaths_percent=round(100 * wrong / pairs, 3),
-        news_p99_s=round(news_s, 2),
+        false_deaths_percent=round(100 * false_deaths / pairs, 3),
+        news_p99_s=round(change_s, 2),
         detect_p99_s=round(detect_s, 2),
         sent_kb_s=round(sent_bytes / count / QUIET_S / 1000, 1),
         messages_s=round(datagrams / count / QUIET_S, 1),
-        cpu_percent=round(100 * cpu / count / QUIET_S, 2),
+        cpu_percent=round(100 * cpu_s / count / QUIET_S, 2),
         use_error_percent=round(sum(errors) / len(errors), 2),
     )
 
 
-app = App(name="membership_at_size", help="What nodes know of each other at size.")
+app = App(name="membership_at_size", help="Measure gossip between many entry nodes.")
 
 
 @app.default
 def main(*sizes: int, loss: float = 0.0, seed: int = 1, json: bool = False) -> None:
-    """Print a line a size.
+    """Print one line of figures for each number of nodes.
 
     Parameters
     ----------
     sizes
         Numbers of nodes.
     loss
-        Part of all datagrams that is lost.
+        Fraction of the datagrams that is lost.
     seed
-        Of all that is drawn.
+        Seed of the random generators.
     json
-        Print JSON.
+        Whether to print each line as JSON.
     """
     for count in sizes or (9, 61, 195, 410):
         figures = asdict(measure(count, loss, seed))
