--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Measure the latency that a node adds, the relay's speed, and memory."""
+"""Measure the latency that a node adds, its relay throughput and its memory."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 }
 
 
-def _get(pool: urllib3.PoolManager, url: str) -> float:
+def _time_get(pool: urllib3.PoolManager, url: str) -> float:
     began = time.perf_counter()
     response = pool.request("GET", url, headers=HEADERS)
     assert response.status == 200
@@ -38,20 +38,20 @@
 
 
 def measure_latency(site: RunningSite) -> dict[str, float]:
-    """Call the same service directly and through a node, in turns, in one run."""
+    """Measure calls of one service, alternately direct and through a node."""
     pool = urllib3.PoolManager(retries=False)
     node = site.nodes["node-1"].address
     desk = site.endpoints["desk-1"].address
     urls = (f"http://{desk}/seats", f"http://{node}/services/booking/seats")
-    taken: tuple[list[float], list[float]] = ([], [])
+    times: tuple[list[float], list[float]] = ([], [])
     began = time.monotonic()
     for number in range(2 * LATENCY_REQUESTS):
         time.sleep(max(0.0, began + number / (2 * RATE) - time.monotonic()))
-        which = number % 2
-        taken[which].append(_get(pool, urls[which]))
+        index = number % 2
+        times[index].append(_time_get(pool, urls[index]))
     figures: dict[str, float] = {}
-    for share, name in ((0.5, "median"), (0.99, "p99")):
-        direct, through = (1000 * percentile(values, share) for values in taken)
+    for fraction, name in ((0.5, "median"), (0.99, "p99")):
+        direct, through = (1000 * percentile(values, fraction) for values in times)
         figures[f"direct_{name}_ms"] = round(direct, 2)
         figures[f"through_{name}_ms"] = round(through, 2)
         figures[f"added_{name}_ms"] = round(through - direct, 2)
@@ -59,13 +59,22 @@
     return figures
 
 
-def _start_source(site: RunningSite, name: str, pace_s: float, group: int = 8) -> None:
-    """Start a fast engine and put it on the host list in place of the others."""
+def _start_source(
+    site: RunningSite, name: str, write_interval_s: float, tokens_per_write: int = 8
+) -> None:
+    """Start a token source and add it to the host list as an engine."""
     address = free_address(loopback_host(10))
     host, port = address.split(":")
     output = site.folder / f"{name}.log"
     command = [sys.executable, "-m", "bench.source", "--host", host, "--port", port]
-    command += ["--name", name, "--pace-s", str(pace_s), "--group", str(group)]
+    command += [
+        "--name",
+        name,
+        "--pace-s",
+        str(write_interval_s),
+        "--group",
+        str(tokens_per_write),
+    ]
     with output.open("ab") as stream:
         popen = subprocess.Popen(command, stdout=stream, stderr=stream)
     site.standins[name] = Process(name, address, popen, output)
@@ -87,7 +96,9 @@
     )
 
 
-def _stream(site: RunningSite, tokens: int, url: str, body: dict[str, Any]) -> int:
+def _count_streamed_tokens(
+    site: RunningSite, tokens: int, url: str, body: dict[str, Any]
+) -> int:
     pool = urllib3.PoolManager(retries=False)
     response = pool.request(
         "POST",
@@ -102,70 +113,76 @@
     return read.count(b'"text":"token "')
 
 
-def _relay(
+def _measure_relay(
     site: RunningSite, model: str, streams: int, tokens: int
 ) -> dict[str, float]:
     node = site.nodes["node-1"]
     url = f"http://{node.address}/v1/completions"
     body = {"model": model, "prompt": "x"}
-    counted: list[int] = []
+    counts: list[int] = []
     threads = [
         threading.Thread(
-            target=lambda: counted.append(_stream(site, tokens, url, body))
+            target=lambda: counts.append(
+                _count_streamed_tokens(site, tokens, url, body)
+            )
         )
         for _ in range(streams)
     ]
-    cpu, began = cpu_seconds(node.pid), time.monotonic()
+    cpu_s, began = cpu_seconds(node.pid), time.monotonic()
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    elapsed, cpu = time.monotonic() - began, cpu_seconds(node.pid) - cpu
-    assert sum(counted) == streams * tokens
+    elapsed, cpu_s = time.monotonic() - began, cpu_seconds(node.pid) - cpu_s
+    assert sum(counts) == streams * tokens
     return {
-        "tokens_per_s": round(sum(counted) / elapsed),
-        "tokens_per_core_s": round(sum(counted) / cpu),
-        "node_cores": round(cpu / elapsed, 2),
+        "tokens_per_s": round(sum(counts) / elapsed),
+        "tokens_per_core_s": round(sum(counts) / cpu_s),
+        "node_cores": round(cpu_s / elapsed, 2),
     }
 
 
-def _source_alone(site: RunningSite, tokens: int) -> int:
+def _measure_source(site: RunningSite, tokens: int) -> int:
     address = site.standins["fast"].address
     body = {"model": "fast", "prompt": "x", "attempt": "a"}
     began = time.monotonic()
-    count = _stream(site, tokens, f"http://{address}/v1/completions", body)
+    count = _count_streamed_tokens(
+        site, tokens, f"http://{address}/v1/completions", body
+    )
     return round(count / (time.monotonic() - began))
 
 
 def measure_memory(site: RunningSite) -> dict[str, float]:
-    """Return the node's memory idle and with many open streams."""
+    """Measure the node's memory without streams and with many open streams."""
     node = site.nodes["node-1"]
     url = f"http://{node.address}/v1/completions"
     figures = {"idle_mb": round(resident_mb(node.pid), 1)}
     threads = [
         threading.Thread(
-            target=_stream,
+            target=_count_streamed_tokens,
             args=(site, 160, url, {"model": "slow", "prompt": "x"}),
         )
         for _ in range(MANY_STREAMS)
     ]
     for thread in threads:
         thread.start()
-    wait_until(lambda: _open(site) >= MANY_STREAMS, 30.0, "all streams open")
-    figures["streams"] = _open(site)
+    wait_until(
+        lambda: _count_open_streams(site) >= MANY_STREAMS, 30.0, "all streams open"
+    )
+    figures["streams"] = _count_open_streams(site)
     figures["at_streams_mb"] = round(resident_mb(node.pid), 1)
     for thread in threads:
         thread.join()
     return figures
 
 
-def _open(site: RunningSite) -> int:
+def _count_open_streams(site: RunningSite) -> int:
     status = site.status("node-1") or {"requests": {}}
     return int(status["requests"].get("dispatched", 0))
 
 
 def imports_mb() -> float:
-    """Return the memory that importing the libraries alone takes."""
+    """Return the memory of a process that only imports the libraries, in MB."""
     code = f"import {IMPORTS}, time; print('ready', flush=True); time.sleep(30)"
     with subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE) as p:
         assert p.stdout is not None
@@ -188,13 +205,13 @@
         figures["memory_idle_mb"] = round(resident_mb(running.nodes["node-1"].pid), 1)
         figures["latency"] = measure_latency(running)
         _start_source(running, "fast", 0.0)
-        figures["source_alone_tokens_per_s"] = _source_alone(running, RELAY_TOKENS)
-        _start_source(running, "single", 0.0, group=1)
-        for model, grouped in (("fast", "8_a_write"), ("single", "1_a_write")):
-            figures[f"relay_1_stream_{grouped}"] = _relay(
+        figures["source_alone_tokens_per_s"] = _measure_source(running, RELAY_TOKENS)
+        _start_source(running, "single", 0.0, tokens_per_write=1)
+        for model, write_size in (("fast", "8_a_write"), ("single", "1_a_write")):
+            figures[f"relay_1_stream_{write_size}"] = _measure_relay(
                 running, model, 1, RELAY_TOKENS
             )
-            figures[f"relay_{STREAMS}_streams_{grouped}"] = _relay(
+            figures[f"relay_{STREAMS}_streams_{write_size}"] = _measure_relay(
                 running, model, STREAMS, STREAM_TOKENS
             )
             running.standins[model].kill()
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Measure the slopes behind docs/CAPACITY.md and extrapolate them.
+"""Measure the slopes in docs/CAPACITY.md and extrapolate them.
 
-Real nodes on one machine, idle or under tiny load. Each slope is a straight line
-through the measured points; its spread is the standard deviation of what the line
-leaves over.
+The measured nodes are real processes on one machine, idle or under a very small load.
+Each slope is that of a straight line fitted to the measured points. Its spread is the
+standard deviation of the residuals.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 ENDPOINT_COUNTS = (2, 8, 16)
 RATES = (0, 10, 20, 40)
 CHANGES = 60
-#: Seconds until news of the start have been passed on and idle is idle.
+#: Seconds until the gossip about the start has spread and the nodes are idle.
 SETTLE_S = 8.0
 SETTLE_NODES_S = 15.0
 WINDOW_S = 10.0
@@ -43,10 +43,14 @@
 
     Attributes
     ----------
+    x : float
+        Value of the varied quantity.
     core_percent : float
-        Percent of a core.
+        Processor time in percent of one core.
+    memory_mb : float
+        Resident memory in MB.
     kb_per_s : float
-        Control traffic that the node itself began, both ways.
+        Control traffic that the node itself started, in both directions, in kB.
     """
 
     x: float
@@ -56,29 +60,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """A straight line and what it leaves over."""
+class FittedLine:
+    """A fitted straight line and the standard deviation of its residuals."""
 
-    start: float
+    intercept: float
     slope: float
     spread: float
 
-    def at(self, x: float) -> float:
-        """Return the line's value."""
-        return self.start + self.slope * x
+    def value_at(self, x: float) -> float:
+        """Return the value of the line at `x`."""
+        return self.intercept + self.slope * x
 
 
-def fit(points: list[tuple[float, float]]) -> Line:
-    """Return the line through points by least squares.
+def fit_line(points: list[tuple[float, float]]) -> FittedLine:
+    """Return the least-squares line through points.
 
     Examples
     --------
-    >>> fit([(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)])
-    Line(start=1.0, slope=2.0, spread=0.0)
+    >>> fit_line([(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)])
+    FittedLine(intercept=1.0, slope=2.0, spread=0.0)
     """
-    slope, start = statistics.linear_regression(*zip(*points, strict=True))
-    left = [y - (start + slope * x) for x, y in points]
-    return Line(start, slope, statistics.pstdev(left))
+    slope, intercept = statistics.linear_regression(*zip(*points, strict=True))
+    residuals = [y - (intercept + slope * x) for x, y in points]
+    return FittedLine(intercept, slope, statistics.pstdev(residuals))
 
 
 def _control_bytes(site: RunningSite, node: str) -> float:
@@ -93,29 +97,43 @@
     during: Callable[[float], None] | None = None,
     settle_s: float = SETTLE_S,
 ) -> Point:
-    """Return what the nodes use during a window."""
+    """Return the resources that the nodes use during a measured window.
+
+    Parameters
+    ----------
+    site : RunningSite
+        The running nodes.
+    x : float
+        Value of the varied quantity.
+    during : callable, optional
+        Load of the given number of seconds. Without it, the nodes stay idle.
+    settle_s : float
+        Seconds to wait before the window.
+    """
     time.sleep(settle_s)
     pids = {name: process.pid for name, process in site.nodes.items()}
-    cpu = {name: cpu_seconds(pid) for name, pid in pids.items()}
-    sent = {name: _control_bytes(site, name) for name in pids}
+    cpu_before = {name: cpu_seconds(pid) for name, pid in pids.items()}
+    control_bytes = {name: _control_bytes(site, name) for name in pids}
     began = time.monotonic()
     if during is None:
         time.sleep(WINDOW_S)
     else:
         during(WINDOW_S)
     elapsed = time.monotonic() - began
-    used = [(cpu_seconds(pid) - cpu[name]) / elapsed for name, pid in pids.items()]
-    bytes_per_s = [(_control_bytes(site, n) - sent[n]) / elapsed for n in pids]
+    cpu_used = [
+        (cpu_seconds(pid) - cpu_before[name]) / elapsed for name, pid in pids.items()
+    ]
+    bytes_per_s = [(_control_bytes(site, n) - control_bytes[n]) / elapsed for n in pids]
     return Point(
         x,
-        round(100 * statistics.mean(used), 3),
+        round(100 * statistics.mean(cpu_used), 3),
         round(statistics.mean(resident_mb(pid) for pid in pids.values()), 2),
         round(statistics.mean(bytes_per_s) / 1000, 3),
     )
 
 
-def over_nodes() -> list[Point]:
-    """Idle nodes, more and more of them."""
+def measure_node_counts() -> list[Point]:
+    """Measure increasing numbers of idle nodes."""
     points = []
     for count in NODE_COUNTS:
         with run_site(small_site(nodes=count, engines=2)) as site:
@@ -123,8 +141,8 @@
     return points
 
 
-def over_endpoints() -> list[Point]:
-    """Three idle nodes before more and more endpoints."""
+def measure_endpoint_counts() -> list[Point]:
+    """Measure three idle nodes with increasing numbers of endpoints."""
     points = []
     for count in ENDPOINT_COUNTS:
         with run_site(small_site(engines=count, services=1)) as site:
@@ -132,8 +150,8 @@
     return points
 
 
-def over_requests() -> list[Point]:
-    """One node under a tiny load of plain calls."""
+def measure_request_rates() -> list[Point]:
+    """Measure one node under a very small load of service calls."""
     points = []
     with run_site(small_site(nodes=1, engines=1)) as site:
         address = site.nodes["node-1"].address
@@ -155,15 +173,15 @@
     return points
 
 
-def over_changes() -> tuple[float, list[float]]:
-    """Publish changes at nine nodes.
+def measure_changes() -> tuple[float, list[float]]:
+    """Publish configuration changes to nine nodes.
 
     Returns
     -------
     cpu_ms : float
-        Processor time of one node for one change, in milliseconds.
+        Processor time that one node uses for one change, in milliseconds.
     seconds : list of float
-        Seconds from each publication until it was in force on all nodes.
+        Seconds from each publication until the change is in force on all nodes.
     """
     with run_site(small_site(nodes=9, engines=2)) as site:
         time.sleep(SETTLE_S)
@@ -175,9 +193,9 @@
         )
         began, before = time.monotonic(), sum(cpu_seconds(pid) for pid in pids)
         seconds = [_publish_and_wait(site, number) for number in range(CHANGES)]
-        used = sum(cpu_seconds(pid) for pid in pids) - before
-        used -= idle_rate * (time.monotonic() - began)
-    return 1000 * used / CHANGES / len(pids), seconds
+        cpu_used = sum(cpu_seconds(pid) for pid in pids) - before
+        cpu_used -= idle_rate * (time.monotonic() - began)
+    return 1000 * cpu_used / CHANGES / len(pids), seconds
 
 
 def _publish_and_wait(site: RunningSite, number: int) -> float:
@@ -185,50 +203,54 @@
     body = deployment_body("beta", priority=1 + number % 100)
     answer = site.publish("node-1", "deployment/beta", body)
     offset = answer["offset"]
-    waiting = set(site.nodes)
-    while waiting and time.monotonic() - began < 10.0:
-        for node in list(waiting):
+    pending = set(site.nodes)
+    while pending and time.monotonic() - began < 10.0:
+        for node in list(pending):
             status = site.status(node)
             if status and status["in_force"].get("deployment/beta", -1) >= offset:
-                waiting.discard(node)
+                pending.discard(node)
     return time.monotonic() - began
 
 
-def plot(title: str, points: list[tuple[float, float]], line: Line) -> str:
-    """Return a plot in characters: o measured, the line's value beside it."""
+def plot(title: str, points: list[tuple[float, float]], line: FittedLine) -> str:
+    """Return a text plot: `o` for a measured point, beside it the line's value."""
     highest = max(y for _, y in points) or 1.0
     rows = [title]
     for x, y in points:
         bar = " " * round(50 * y / highest) + "o"
-        rows.append(f"{x:8.1f} |{bar:<54} {y:9.3f}  line {line.at(x):9.3f}")
+        rows.append(f"{x:8.1f} |{bar:<54} {y:9.3f}  line {line.value_at(x):9.3f}")
     return "\n".join(rows)
 
 
-def show(name: str, points: list[Point], future: float) -> dict[str, object]:
-    """Print the plots of a series and return its lines."""
+def report_series(name: str, points: list[Point], future: float) -> dict[str, object]:
+    """Print the plots of a series and return its fitted lines."""
     lines: dict[str, object] = {}
     for attribute in ("core_percent", "memory_mb", "kb_per_s"):
         pairs = [(point.x, getattr(point, attribute)) for point in points]
-        line = fit(pairs)
+        line = fit_line(pairs)
         print(plot(f"\n{name}: {attribute}", pairs, line), flush=True)
         lines[attribute] = {
-            "start": round(line.start, 4),
+            "start": round(line.intercept, 4),
             "slope": round(line.slope, 5),
             "spread": round(line.spread, 4),
             "at": future,
-            "extrapolated": round(line.at(future), 3),
+            "extrapolated": round(line.value_at(future), 3),
         }
     return lines
 
 
 def main() -> int:
-    """Measure all slopes and print them with what they come to."""
+    """Measure all slopes and print them with their extrapolated values."""
     table: dict[str, object] = {
-        "nodes": show("idle nodes", over_nodes(), FUTURE_NODES),
-        "endpoints": show("endpoints", over_endpoints(), FUTURE_ENDPOINTS_WATCHED),
-        "requests": show("requests a second", over_requests(), FUTURE_RATE),
+        "nodes": report_series("idle nodes", measure_node_counts(), FUTURE_NODES),
+        "endpoints": report_series(
+            "endpoints", measure_endpoint_counts(), FUTURE_ENDPOINTS_WATCHED
+        ),
+        "requests": report_series(
+            "requests a second", measure_request_rates(), FUTURE_RATE
+        ),
     }
-    cpu_ms, seconds = over_changes()
+    cpu_ms, seconds = measure_changes()
     ordered = sorted(seconds)
     table["changes"] = {
         "cpu_ms_per_change": round(cpu_ms, 3),
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,7 +1,8 @@
-"""Compare routing policies on the same traces, in one run.
+"""Compare the routing policies on the same traces, in one run.
 
-The ceremony day: long case files that come back, bookings in bursts, an outage of the
-log and a wave of reclaims. The engines' prefix caches hold a few case files each.
+The trace of the ceremony day has prompts with long case files that repeat, bookings in
+bursts, an outage of the log and a series of reclaims. The prefix cache of each engine
+holds a few case files.
 """
 
 from __future__ import annotations
@@ -19,20 +20,23 @@
 from poplarrelay.testing.processes import run_site
 from poplarrelay.testing.site import Site
 
-EXAMPLE = Path(__file__).parent.parent / "examples"
-FILES = {
-    Day.CEREMONY: EXAMPLE / "ceremony_booking_relay_western_province.json",
-    Day.HARBOUR: EXAMPLE / "shared_harbour_tide_platform.json",
+EXAMPLES_FOLDER = Path(__file__).parent.parent / "examples"
+SITE_FILES = {
+    Day.CEREMONY: EXAMPLES_FOLDER / "ceremony_booking_relay_western_province.json",
+    Day.HARBOUR: EXAMPLES_FOLDER / "shared_harbour_tide_platform.json",
 }
 CACHE_BLOCKS = 400
-PREFILL = 4000.0
+PREFILL_TOKENS_PER_S = 4000.0
 
 
 def _site(day: Day) -> Site:
-    site = Site.from_file(FILES[day])
+    site = Site.from_file(SITE_FILES[day])
     endpoints = tuple(
         e.model_copy(
-            update={"cache_blocks": CACHE_BLOCKS, "prefill_tokens_per_s": PREFILL}
+            update={
+                "cache_blocks": CACHE_BLOCKS,
+                "prefill_tokens_per_s": PREFILL_TOKENS_PER_S,
+            }
         )
         for e in site.endpoints
     )
@@ -42,40 +46,42 @@
 def run(
     day: Day, policy: RoutingPolicy, seed: int, seconds: float, rate: float
 ) -> dict[str, object]:
-    """Return the figures of one policy on one trace."""
+    """Replay one trace under one policy and return the figures."""
     site = _site(day)
     trace = generate_trace(site, day, seed, seconds, rate)
     settings = {"limits": {"routing_policy": policy.value}}
     with run_site(site, settings=settings) as running:
         target = ReplayTarget.model_validate(running.replay_target())
-        judged = evaluate_replay(run_replay(trace, target))
-        computed = [
+        evaluation = evaluate_replay(run_replay(trace, target))
+        statistics = [
             running.get(process.address, "/statistics")
             for name, process in running.endpoints.items()
             if name.startswith(("assistant", "tide"))
         ]
-    late_urgent = judged.classes["urgent"].requests - judged.classes["urgent"].in_time
+    late_urgent = (
+        evaluation.classes["urgent"].requests - evaluation.classes["urgent"].in_time
+    )
     return {
         "day": day.value,
         "policy": policy.value,
         "seed": seed,
-        "requests": judged.requests,
-        "missed_cache_tokens": judged.recomputed_missing_cache,
-        "recomputed_moving": judged.recomputed_moving,
-        "computed_prompt_tokens": sum(c["prompt"] for c in computed if c),
+        "requests": evaluation.requests,
+        "missed_cache_tokens": evaluation.recomputed_missing_cache,
+        "recomputed_moving": evaluation.recomputed_moving,
+        "computed_prompt_tokens": sum(c["prompt"] for c in statistics if c),
         "late_urgent": late_urgent,
-        "in_time": sum(c.in_time for c in judged.classes.values()),
-        "urgent_p95_s": judged.classes["urgent"].p95_first_s,
-        "standard_p95_s": judged.classes["standard"].p95_first_s,
-        "doubled": judged.doubled,
-        "lost": judged.lost,
-        "fragments": judged.fragments,
-        "false_not_run": judged.false_not_run,
+        "in_time": sum(c.in_time for c in evaluation.classes.values()),
+        "urgent_p95_s": evaluation.classes["urgent"].p95_first_s,
+        "standard_p95_s": evaluation.classes["standard"].p95_first_s,
+        "doubled": evaluation.doubled,
+        "lost": evaluation.lost,
+        "fragments": evaluation.fragments,
+        "false_not_run": evaluation.false_not_run,
     }
 
 
 def main() -> int:
-    """Print a line for each policy and seed."""
+    """Print one line of figures for each policy and seed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--day", choices=[d.value for d in Day], default="ceremony")
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2, 3])
--- a/bench/reclaims.py
+++ b/bench/reclaims.py
@@ -1,8 +1,8 @@
-"""Compare ways to take running streams off reclaimed engines, in one run.
+"""Compare the policies that move running streams off reclaimed engines, in one run.
 
-The same streams, of mixed lengths and from the same seed, run while one failure domain
-and then the next is announced and reclaimed. For each policy: tokens computed again,
-and how late the answers were.
+For each policy, the same streams run, of mixed lengths and from the same seed. In the
+meantime the engine of one failure domain gets a reclaim notice and is killed, then
+that of a second domain. The figures are the recomputed tokens and the delays.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 
 
 class Stream:
-    """One stream and what its caller saw."""
+    """One stream, with the results that its caller received."""
 
     def __init__(self, site: RunningSite, number: int, seed: int) -> None:
         rng = random.Random(1000 * seed + number)
         self._client = site.client("alpha", seed=number)
         self._prompt = f"case {number} " + "notes " * rng.randint(300, 1500)
-        self._count = rng.choice([60, 150, 300, 500])
+        self._max_tokens = rng.choice([60, 150, 300, 500])
         self._result = CompletionResult()
         self.longest_gap_s = 0.0
         self.seconds = 0.0
-        self.whole = False
+        self.complete = False
 
     def run(self) -> None:
-        """Read the stream to its end."""
+        """Request the stream and read it to its end."""
         began = last = time.monotonic()
         try:
             for _ in self._client.stream(
-                "small", self._prompt, self._count, 60.0, "standard", self._result
+                "small", self._prompt, self._max_tokens, 60.0, "standard", self._result
             ):
                 now = time.monotonic()
                 if len(self._result.tokens) > 1:
@@ -53,23 +53,25 @@
         except ClientError:
             return
         self.seconds = time.monotonic() - began
-        wanted = [token_text(self._prompt, index) for index in range(self._count)]
-        self.whole = self._result.tokens == wanted
+        expected = [
+            token_text(self._prompt, index) for index in range(self._max_tokens)
+        ]
+        self.complete = self._result.tokens == expected
 
     @property
     def recomputed(self) -> int:
-        """Return the tokens that were computed again."""
+        """Return the number of recomputed tokens."""
         return self._result.usage.get("recomputed_tokens", 0)
 
 
-def _reclaim(site: RunningSite, domain: str, engine: str) -> None:
+def _notify_and_kill(site: RunningSite, domain: str, engine: str) -> None:
     site.notice(NOTICE_S, failure_domain=domain)
     time.sleep(NOTICE_S)
     site.endpoints[engine].kill()
 
 
 def run(policy: MovePolicy, seed: int) -> dict[str, object]:
-    """Return the figures of one policy."""
+    """Run all streams under one policy and return the figures."""
     settings = {"limits": {"move_policy": policy.value}}
     with run_site(small_site(engines=4, engine=ENGINE), settings=settings) as site:
         streams = [Stream(site, number, seed) for number in range(STREAMS)]
@@ -77,8 +79,8 @@
         for thread in threads:
             thread.start()
         time.sleep(1.0)
-        _reclaim(site, "east", "engine-1")
-        _reclaim(site, "west", "engine-2")
+        _notify_and_kill(site, "east", "engine-1")
+        _notify_and_kill(site, "west", "engine-2")
         for thread in threads:
             thread.join()
         moves = [
@@ -90,7 +92,7 @@
     return {
         "policy": policy.value,
         "seed": seed,
-        "whole": sum(stream.whole for stream in streams),
+        "whole": sum(stream.complete for stream in streams),
         "streams": STREAMS,
         "moved": len(moves),
         "recomputed_tokens": sum(stream.recomputed for stream in streams),
@@ -101,14 +103,14 @@
 
 
 def main() -> int:
-    """Print a line for each policy and seed; exit code 1 if an answer was cut."""
-    good = True
+    """Print figures for each policy and seed; return 1 if a stream was incomplete."""
+    all_complete = True
     for seed in SEEDS:
         for policy in MovePolicy:
             figures = run(policy, seed)
-            good = good and figures["whole"] == figures["streams"]
+            all_complete = all_complete and figures["whole"] == figures["streams"]
             print(json.dumps(figures), flush=True)
-    return 0 if good else 1
+    return 0 if all_complete else 1
 
 
 if __name__ == "__main__":
--- a/bench/source.py
+++ b/bench/source.py
@@ -1,4 +1,4 @@
-"""An engine that sends tokens as fast as it can, for measuring the relay."""
+"""A stand-in engine that sends tokens at full speed, to measure the relay."""
 
 from __future__ import annotations
 
@@ -14,33 +14,37 @@
 from poplarrelay.web.exchange import answer_json, read_json
 
 
-class Source:
-    """Root of the source.
+class TokenSource:
+    """HTTP handlers of the stand-in engine.
 
     Parameters
     ----------
-    pace_s : float
+    name : str
+        Name of the endpoint.
+    write_interval_s : float
         Seconds between two writes.
-    group : int
-        Tokens of one write.
+    tokens_per_write : int
+        Number of tokens in one write.
     """
 
-    def __init__(self, name: str, pace_s: float, group: int) -> None:
+    def __init__(
+        self, name: str, write_interval_s: float, tokens_per_write: int
+    ) -> None:
         self._name = name
-        self._group = group
-        self._pace_s = pace_s
-        self.v1 = Source.V1(self)
+        self._tokens_per_write = tokens_per_write
+        self._write_interval_s = write_interval_s
+        self.v1 = TokenSource.V1(self)
 
     class V1:
-        """``/v1``."""
+        """Handlers of the paths below ``/v1``."""
 
-        def __init__(self, source: Source) -> None:
+        def __init__(self, source: TokenSource) -> None:
             self.completions = source.completions
             self.cancel = source.cancel
 
     @cherrypy.expose
     def load(self) -> bytes:
-        """Report that there is always room."""
+        """Report an idle engine with free slots."""
         return answer_json(
             {
                 "endpoint": self._name,
@@ -55,12 +59,12 @@
 
     @cherrypy.expose
     def cancel(self) -> bytes:
-        """Take notice of nothing."""
+        """Accept a cancellation and ignore it."""
         return answer_json({})
 
     @cherrypy.expose
     def completions(self) -> Iterator[bytes]:
-        """Stream tokens."""
+        """Stream the requested number of tokens as server-sent events."""
         body = read_json(EngineBody, MAX_BODY_BYTES)
         cherrypy.response.headers["Content-Type"] = "text/event-stream"
         cherrypy.response.stream = True
@@ -69,11 +73,11 @@
     def _events(self, body: EngineBody) -> Iterator[bytes]:
         attempt = orjson.dumps(body.attempt)
         event = b'data: {"attempt":%b,"index":%d,"choices":[{"text":"token "}]}\n\n'
-        for first in range(0, body.max_tokens, self._group):
-            last = min(first + self._group, body.max_tokens)
+        for first in range(0, body.max_tokens, self._tokens_per_write):
+            last = min(first + self._tokens_per_write, body.max_tokens)
             yield b"".join(event % (attempt, index) for index in range(first, last))
-            if self._pace_s:
-                time.sleep(self._pace_s)
+            if self._write_interval_s:
+                time.sleep(self._write_interval_s)
         yield (
             b'data: {"attempt":%b,"finish":"stop","count":%d}\n\ndata: [DONE]\n\n'
             % (attempt, body.max_tokens)
@@ -81,7 +85,7 @@
 
 
 def main() -> None:
-    """Run the source."""
+    """Run the token source until it is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--host", required=True)
     parser.add_argument("--port", type=int, required=True)
@@ -89,7 +93,7 @@
     parser.add_argument("--pace-s", type=float, default=0.0)
     parser.add_argument("--group", type=int, default=8)
     options = parser.parse_args()
-    source = Source(options.name, options.pace_s, options.group)
+    source = TokenSource(options.name, options.pace_s, options.group)
     run_stand_in(options.host, options.port, source, threads=256)
 
 
