--- a/poplarrelay/commands/soak.py
+++ b/poplarrelay/commands/soak.py
@@ -42,7 +42,7 @@
     print(f"seed {report.seed}: {verdict}; faults: {faults}")
     print(f"  requests: {report.endings}")
     for violation in report.violations:
-        print(f"  {violation.invariant.name}: {violation.what}")
+        print(f"  {violation.invariant.name}: {violation.detail}")
     sys.stdout.flush()
 
 
--- a/poplarrelay/testing/soak/callers.py
+++ b/poplarrelay/testing/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak run: they keep connections for as long as nodes let them."""
+"""Simulated callers of a soak run, with persistent connections to the nodes."""
 
 from __future__ import annotations
 
@@ -13,135 +13,155 @@
 from poplarrelay.entry.http.connection import Connection, Headers
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.testing.entry_site import HOST, EntrySite
-from poplarrelay.testing.soak.ledger import Asked, Ending
+from poplarrelay.testing.soak.ledger import Ending, SentRequest
 
 __all__ = ["KEYS", "Caller"]
 
-#: Keys by team.
+#: API keys by team.
 KEYS = {"alpha": "key-of-alpha", "beta": "key-of-beta"}
-#: Kinds of request: whether each may run more than once, and whether it streams.
-KINDS = {
+#: Kinds of request, with two flags: whether a request of the kind is allowed to run
+#: more than once, and whether its response is a stream.
+REQUEST_KINDS = {
     "book": (False, False),
     "pay": (False, False),
     "look": (True, False),
     "draft": (True, True),
     "brief": (False, True),
 }
-#: Seconds that a caller gives a request.
+#: Deadline of a request, in seconds after the caller sends it.
 DEADLINE_S = 4.0
-#: Seconds beyond it after which a request that has not ended counts as held.
+#: Seconds after the deadline within which the request must have ended.
 MARGIN_S = 2.0
-#: Seconds for a new connection.
+#: Seconds within which a new connection must open.
 CONNECT_S = 1.0
-#: Longest pause between two requests of a caller.
-LONGEST_PAUSE_S = 0.15
-#: Part of the requests whose caller leaves early, and after how long at the most.
-LEAVE_SHARE, LEAVE_S = 0.05, 0.3
+#: Maximum time in seconds between two requests of a caller.
+MAX_REQUEST_GAP_S = 0.15
+#: Share of the requests that their caller abandons, and the maximum time in seconds
+#: after which it does.
+ABANDON_SHARE, MAX_ABANDON_S = 0.05, 0.3
 
-_NUMBERS = count(1)
+_REQUEST_NUMBERS = count(1)
 
 
 class Caller:
-    """One caller, with one open connection for each node.
+    """A caller that keeps one open connection to each node.
 
     Parameters
     ----------
     site : EntrySite
         The nodes.
-    asked : list of Asked
-        Gets each request that is sent.
-    paused : callable
-        Returns whether a node has been paused since a time.
+    requests : list of SentRequest
+        The caller appends each request that it sends.
+    was_paused : callable
+        Takes a node and a monotonic time, and returns whether the node was paused at
+        any time since then.
+    rng : random.Random
+        Source of the random choices.
     """
 
     def __init__(
         self,
         site: EntrySite,
-        asked: list[Asked],
-        paused: Callable[[str, float], bool],
+        requests: list[SentRequest],
+        was_paused: Callable[[str, float], bool],
         rng: Random,
     ) -> None:
         self._site = site
-        self._asked = asked
-        self._paused = paused
+        self._requests = requests
+        self._was_paused = was_paused
         self._rng = rng
-        self._open: dict[str, Connection] = {}
+        self._connections: dict[str, Connection] = {}
 
     async def run(self) -> None:
         """Send requests until cancelled."""
         try:
             while True:
                 nodes = sorted(self._site.processes)
-                await self.ask(self._rng.choice(nodes), self._rng.choice(list(KINDS)))
-                await asyncio.sleep(self._rng.uniform(0, LONGEST_PAUSE_S))
+                await self.send_request(
+                    self._rng.choice(nodes), self._rng.choice(list(REQUEST_KINDS))
+                )
+                await asyncio.sleep(self._rng.uniform(0, MAX_REQUEST_GAP_S))
         finally:
-            for connection in self._open.values():
+            for connection in self._connections.values():
                 connection.abort()
 
-    async def ask(self, node: str, kind: str, body: bytes = b"") -> Asked:
-        """Send one request to a node; its body defaults to its id."""
-        repeatable, streams = KINDS[kind]
+    async def send_request(
+        self, node: str, kind: str, body: bytes = b""
+    ) -> SentRequest:
+        """Send one request to a node, and wait until it ends.
+
+        The body of the request defaults to its id.
+        """
+        repeatable, streams = REQUEST_KINDS[kind]
         team = self._rng.choice(list(KEYS))
-        request = f"soak-{next(_NUMBERS)}"
-        asked = Asked(request, node, kind, team, repeatable, streams, custom_body=body)
-        self._asked.append(asked)
+        request_id = f"soak-{next(_REQUEST_NUMBERS)}"
+        sent = SentRequest(
+            request_id, node, kind, team, repeatable, streams, custom_body=body
+        )
+        self._requests.append(sent)
         sent_at = monotonic()
-        leaves_s = None
-        if self._rng.random() < LEAVE_SHARE:
-            leaves_s = self._rng.uniform(0, LEAVE_S)
+        abandon_s = None
+        if self._rng.random() < ABANDON_SHARE:
+            abandon_s = self._rng.uniform(0, MAX_ABANDON_S)
         try:
-            async with asyncio.timeout(leaves_s or DEADLINE_S + MARGIN_S):
-                await self._exchange(asked)
+            async with asyncio.timeout(abandon_s or DEADLINE_S + MARGIN_S):
+                await self._exchange(sent)
         except ExchangeFailed:
-            asked.ending = asked.ending or Ending.CUT
+            sent.ending = sent.ending or Ending.CUT
         except TimeoutError:
-            asked.ending = Ending.STILL_OPEN if leaves_s is None else Ending.CUT
-            asked.disturbed = self._paused(node, sent_at)
-        return asked
+            sent.ending = Ending.STILL_OPEN if abandon_s is None else Ending.CUT
+            sent.node_was_paused = self._was_paused(node, sent_at)
+        return sent
 
-    async def _exchange(self, asked: Asked) -> None:
-        connection = await self._connect(asked)
-        kept = False
+    async def _exchange(self, sent: SentRequest) -> None:
+        connection = await self._connect(sent)
+        reusable = False
         try:
-            kept = await self._answer_on(connection, asked)
+            reusable = await self._send_and_receive(connection, sent)
         finally:
-            # Also when the caller leaves: only a closed connection tells the node.
-            if kept:
-                self._open[asked.node] = connection
+            # This also runs when the caller abandons the request: the node notices it
+            # only by the closed connection.
+            if reusable:
+                self._connections[sent.node] = connection
             else:
                 connection.abort()
 
-    async def _answer_on(self, connection: Connection, asked: Asked) -> bool:
-        """Send a request, take its answer, and tell if the connection may go on."""
-        body = asked.request_body
+    async def _send_and_receive(
+        self, connection: Connection, sent: SentRequest
+    ) -> bool:
+        """Send a request and receive the response.
+
+        Return whether the connection can be used again.
+        """
+        body = sent.request_body
         headers: Headers = [
             (b"Host", HOST.encode()),
-            (b"X-Poplarrelay-Attempt-Id", asked.request.encode()),
+            (b"X-Poplarrelay-Attempt-Id", sent.request_id.encode()),
             (b"X-Poplarrelay-Deadline-Ms", str(int(1000 * DEADLINE_S)).encode()),
-            (b"Authorization", f"Bearer {KEYS[asked.team]}".encode()),
+            (b"Authorization", f"Bearer {KEYS[sent.team]}".encode()),
             (b"Content-Length", str(len(body)).encode()),
         ]
-        connection.send(b"POST", f"/{asked.kind}/x".encode(), headers, body)
+        connection.send(b"POST", f"/{sent.kind}/x".encode(), headers, body)
         response = await connection.whole_response(1_000_000)
-        asked.status = response.status
-        asked.body = response.body
-        asked.ending = Ending.ANSWERED
+        sent.status = response.status
+        sent.body = response.body
+        sent.ending = Ending.ANSWERED
         return connection.recycle(response.headers, monotonic())
 
-    async def _connect(self, asked: Asked) -> Connection:
-        connection = self._open.pop(asked.node, None)
+    async def _connect(self, sent: SentRequest) -> Connection:
+        connection = self._connections.pop(sent.node, None)
         now = monotonic()
         if connection is not None and connection.usable(now):
             return connection
         try:
-            return await Connection.open(*self._site.address(asked.node), CONNECT_S)
+            return await Connection.open(*self._site.address(sent.node), CONNECT_S)
         except ExchangeFailed:
-            asked.ending = Ending.REFUSED_CONNECTION
+            sent.ending = Ending.REFUSED_CONNECTION
             raise
 
 
 async def configuration_of(site: EntrySite, node: str) -> int:
-    """Return the version that a node says it goes by, 0 if it does not answer."""
+    """Return the configuration version in force at a node, 0 if it does not answer."""
     try:
         answer = await site.get("control", "/status", node)
     except (ExchangeFailed, TimeoutError):
--- a/poplarrelay/testing/soak/plan.py
+++ b/poplarrelay/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults a run has, and when; drawn from its seed alone."""
+"""The plan of the faults of a soak run, drawn from its seed alone."""
 
 from __future__ import annotations
 
@@ -9,49 +9,52 @@
 
 __all__ = ["FIRST_KINDS", "SECOND_KINDS", "FaultKind", "PlannedFault", "draw_plan"]
 
-#: Seconds between two faults, on average. They last longer than that, so several
-#: are at work at most times.
+#: Mean seconds between the starts of two faults. Faults last longer on average, so
+#: several overlap at most times.
 MEAN_GAP_S = 0.7
-#: Shortest and longest time in seconds for which a fault lasts.
-SHORTEST_S, LONGEST_S = 0.3, 3.5
-#: Part of the run at its start that is left calm, so that there is work to disturb.
+#: Minimum and maximum duration of a fault, in seconds.
+MIN_DURATION_S, MAX_DURATION_S = 0.3, 3.5
+#: Seconds without faults at the start of a run, so that requests are in flight when
+#: the first fault occurs.
 CALM_START_S = 1.0
 
 
 class FaultKind(Enum):
-    """What is done to the running system from outside.
+    """A kind of fault that the soak causes in the running system.
 
     KILL, STOP, PAUSE, RELOAD
-        A node's process is killed, told to stop, stopped and continued, or told
-        that its settings have changed. One that ended is started again.
+        The process of a node is killed, terminated, paused, or told to reload its
+        settings. A process that ended is started again.
     STORE_LINK, ENDPOINT_LINK
-        What a link to the store or to an endpoint carries is delayed, lost one way
-        or both, or cut.
+        A link to the store or to an endpoint delays its data, loses it in one or both
+        directions, or is cut.
     LINK_RESET
         All open connections of a link are reset.
-    STORE_OUTAGE, STORE_LOSES
-        The store refuses or does not answer some nodes, or does what they ask and
-        loses its answers.
-    STORE_FORGETS, GROUP_DEALT
-        Its history is dropped, or its groups' partitions are dealt anew.
+    STORE_OUTAGE, STORE_LOSES_REPLIES
+        The store rejects the calls of some nodes or does not answer them, or it
+        executes the calls of a node and loses the replies.
+    STORE_COMPACTED, GROUP_REBALANCED
+        The store drops all records of a topic except the newest of each key, or it
+        rebalances the partitions of a consumer group.
     CONFIGURATION
-        Operators publish the next version.
+        The next version of the configuration is published.
     ENDPOINT_FAULTS
-        An endpoint treats its next requests badly.
-    ENDPOINT_BREAKS
+        An endpoint mishandles its next requests in the ways that
+        `poplarrelay.standins.users.runner.Fault` lists.
+    ENDPOINT_BREAKS_STREAMS
         An endpoint breaks off its streams in the middle of an event.
     ENDPOINT_LEAVES
-        An endpoint says that it leaves, and is replaced.
+        An endpoint announces that it leaves, and a new one replaces it.
     ENDPOINT_RESTARTS
-        An endpoint crashes and starts again under its id, knowing nothing of before.
+        An endpoint crashes and starts again under the same id, without its old state.
     FOREIGN_RECORDS
-        Another writer writes records that cannot be read, under an endpoint's id and
-        under others.
+        Another writer writes unreadable records, under the id of an endpoint and under
+        other keys.
     REQUEST_CRASHES
         A request that crashes every endpoint that runs it is sent repeatedly, to
         random nodes. Crashed endpoints restart.
     ENDPOINT_LIMITS
-        An endpoint states a series of request rate limits, which may be unreadable.
+        An endpoint states a series of request rate limits. Some are unreadable.
     """
 
     KILL = "kill"
@@ -62,12 +65,12 @@
     ENDPOINT_LINK = "endpoint link"
     LINK_RESET = "link reset"
     STORE_OUTAGE = "store outage"
-    STORE_LOSES = "store loses answers"
-    STORE_FORGETS = "store forgets"
-    GROUP_DEALT = "group dealt anew"
+    STORE_LOSES_REPLIES = "store loses answers"
+    STORE_COMPACTED = "store forgets"
+    GROUP_REBALANCED = "group dealt anew"
     CONFIGURATION = "configuration"
     ENDPOINT_FAULTS = "endpoint faults"
-    ENDPOINT_BREAKS = "endpoint breaks streams"
+    ENDPOINT_BREAKS_STREAMS = "endpoint breaks streams"
     ENDPOINT_LEAVES = "endpoint leaves"
     ENDPOINT_RESTARTS = "endpoint restarts"
     FOREIGN_RECORDS = "foreign records"
@@ -75,11 +78,12 @@
     ENDPOINT_LIMITS = "endpoint limits"
 
 
-#: Kinds that plans were drawn from before endpoints restarted under their ids. Seeds
-#: that showed something then are played with these, so that their plans stay the same.
+#: Kinds before ``ENDPOINT_RESTARTS`` and ``FOREIGN_RECORDS`` were added. Seeds that
+#: found a fault at that time run with these kinds, so that their plans stay the same.
 FIRST_KINDS = tuple(FaultKind)[:15]
 #: Kinds before ``REQUEST_CRASHES`` and ``ENDPOINT_LIMITS`` were added, for the seeds
-#: of that time. Both tuples depend on the order of the enum: append new kinds.
+#: of that time. Both tuples depend on the order of the enum: append new kinds at its
+#: end.
 SECOND_KINDS = tuple(FaultKind)[:17]
 
 
@@ -89,22 +93,23 @@
 
     Attributes
     ----------
-    at_s, for_s : float
-        Seconds from the start of the run, and how long it lasts.
-    draw : int
-        Picks who is struck among those that are there at that moment, and how.
+    at_s, duration_s : float
+        Start of the fault in seconds after the start of the run, and how long it lasts.
+    seed : int
+        Seed for the random choice of the target and the details. The target is chosen
+        among the nodes or endpoints that exist when the fault starts.
     """
 
     kind: FaultKind
     at_s: float
-    for_s: float
-    draw: int
+    duration_s: float
+    seed: int
 
 
 def draw_plan(
     seed: int, length_s: float, kinds: Sequence[FaultKind] = tuple(FaultKind)
 ) -> list[PlannedFault]:
-    """Return the faults of a run in order.
+    """Return the faults of a run in order of their start.
 
     Examples
     --------
@@ -118,6 +123,6 @@
     at_s = CALM_START_S
     while (at_s := at_s + rng.expovariate(1 / MEAN_GAP_S)) < length_s:
         kind = rng.choice(kinds)
-        for_s = rng.uniform(SHORTEST_S, LONGEST_S)
-        plan.append(PlannedFault(kind, at_s, for_s, rng.randrange(1_000_000)))
+        duration_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
+        plan.append(PlannedFault(kind, at_s, duration_s, rng.randrange(1_000_000)))
     return plan
--- a/poplarrelay/testing/soak/run.py
+++ b/poplarrelay/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak run: nodes as processes, callers, faults from outside, and the verdict."""
+"""A soak run: node processes, callers, injected faults and the check of invariants."""
 
 from __future__ import annotations
 
@@ -28,14 +28,19 @@
     entry_configuration,
 )
 from poplarrelay.testing.links import LinkState
-from poplarrelay.testing.soak.callers import KEYS, KINDS, Caller, configuration_of
+from poplarrelay.testing.soak.callers import (
+    KEYS,
+    REQUEST_KINDS,
+    Caller,
+    configuration_of,
+)
 from poplarrelay.testing.soak.ledger import (
-    Asked,
     Invariant,
+    SentRequest,
     Violation,
     check_duties,
     check_requests,
-    summary,
+    count_endings,
 )
 from poplarrelay.testing.soak.plan import FaultKind, PlannedFault, draw_plan
 
@@ -43,28 +48,29 @@
 
 _LOG = logging.getLogger("poplarrelay.testing.soak")
 
-#: Seconds after the faults within which all nodes must serve again. A restart takes
-#: about one second, a lapsed lease two, an endpoint taken for broken four.
+#: Seconds after the end of all faults within which all nodes must serve again. A
+#: restart takes about one second, the expiry of a lease two, and the recovery of an
+#: endpoint that was avoided as broken four.
 RECOVERY_S = 20.0
-#: Seconds after the end of a process at which it is started again.
+#: Seconds between the end of a node process and its restart.
 RESTART_S = 0.4
-#: Requests that an endpoint treats badly at once.
+#: Number of successive requests that an endpoint mishandles in one fault.
 FAULTY_REQUESTS = 4
-#: Seconds between the end of a request that crashes endpoints and the next.
+#: Seconds between the end of one request that crashes endpoints and the next one.
 CRASH_REQUEST_GAP_S = 0.15
-#: Seconds after the crash of an endpoint at which it restarts.
+#: Seconds between the crash of an endpoint and its restart.
 CRASH_RECOVERY_S = 0.5
 #: ``Server-Limit`` values that endpoints state, in requests per second. The last three
 #: are unreadable.
 STATED_LIMITS = ("0", "0.5", "2", "7.5", "-1", "soon", "")
-#: What other writers leave among the endpoints' records.
+#: Unreadable values that other writers put among the records of the endpoints.
 FOREIGN_RECORDS: tuple[Any, ...] = (
     {"service": CALLS},
     {"service": CALLS, "address": 7000, "slots": "many", "state": "ready"},
     ["no", "record"],
     "text",
 )
-#: Fault kinds of endpoints that are drawn.
+#: Ways in which an endpoint can mishandle a request.
 _ENDPOINT_FAULTS = list(Fault)
 _LINK_STATES = [state for state in LinkState if state is not LinkState.WHOLE]
 _OUTAGES = [outage for outage in Outage if outage is not Outage.NONE]
@@ -72,26 +78,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakSize:
-    """How large and how long a run is.
+    """The size and the duration of a run.
 
     Attributes
     ----------
     endpoints : int
-        Endpoints of each of the two services.
-    kinds : tuple of FaultKind
-        Faults that are drawn.
+        Number of endpoints of each of the two services.
+    length_s : float
+        Time in seconds in which faults start.
+    fault_kinds : tuple of FaultKind
+        Kinds of the faults of the run.
     """
 
     nodes: int = 3
     endpoints: int = 3
     callers: int = 12
     length_s: float = 10.0
-    kinds: tuple[FaultKind, ...] = tuple(FaultKind)
+    fault_kinds: tuple[FaultKind, ...] = tuple(FaultKind)
 
 
 @dataclass(frozen=True, slots=True)
 class SoakReport:
-    """What came of a run."""
+    """The result of a run: its faults, the endings of its requests, and violations."""
 
     seed: int
     faults: Counter[str]
@@ -100,25 +108,31 @@
 
     @property
     def passed(self) -> bool:
-        """Return whether every promise held."""
+        """Return whether every invariant held."""
         return not self.violations
 
 
 @dataclass(slots=True)
 class SoakRun:
-    """A run under way.
+    """The state of a run in progress.
 
     Attributes
     ----------
+    version : int
+        Version of the newest configuration.
+    requests : list of SentRequest
+        All requests of the callers.
     runners : list of RunnerStandIn
-        All endpoints of the run, those that have left included.
+        All runs of all endpoints, including endpoints that have left.
+    listed : dict of str to str
+        Service of each endpoint that has a record in the store and does not leave.
     paused_until : dict of str to float
-        Monotonic time of the end of a node's last pause, infinite during one.
-    starting : dict of str to asyncio.Lock
-        Held while a node's process, or an endpoint, is started, so that it is started
-        once.
+        Monotonic time of the end of a node's last pause, infinite during a pause.
+    start_locks : dict of str to asyncio.Lock
+        Lock of each node or endpoint, held while it starts. It prevents two faults
+        from starting the same node or endpoint twice.
     errors : list of str
-        Faults that could not be brought about, which is a fault of the soak.
+        Tracebacks of faults that could not be injected: errors of the soak itself.
     crash_bodies : set of bytes
         Request bodies that crash endpoints; cleared when the faults end.
     recoveries : list of asyncio.Task
@@ -130,27 +144,28 @@
     rng: Random
     folder: Path
     version: int = 1
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[SentRequest] = field(default_factory=list)
     runners: list[RunnerStandIn] = field(default_factory=list)
     listed: dict[str, str] = field(default_factory=dict)
     paused_until: dict[str, float] = field(default_factory=dict)
-    starting: dict[str, asyncio.Lock] = field(default_factory=dict)
+    start_locks: dict[str, asyncio.Lock] = field(default_factory=dict)
     errors: list[str] = field(default_factory=list)
     crash_bodies: set[bytes] = field(default_factory=set)
     recoveries: list[asyncio.Task[None]] = field(default_factory=list)
-    numbers: count[int] = field(default_factory=lambda: count(1))
+    endpoint_numbers: count[int] = field(default_factory=lambda: count(1))
 
-    def paused(self, node: str, since: float) -> bool:
-        """Return whether a node has stood still at any time since then.
+    def was_paused(self, node: str, since: float) -> bool:
+        """Return whether a node was paused at any time since `since`.
 
         Notes
         -----
-        A request that is sent to a stopped process lies in its socket. The node
-        cannot know for how long, and counts its time from when it reads it.
+        A request that is sent to a paused process waits in its socket. The node cannot
+        know for how long, and counts the deadline from the time at which it reads the
+        request.
         """
         return self.paused_until.get(node, 0.0) > since
 
-    # set-up
+    # Setup
 
     async def start(self) -> None:
         """Start endpoints and nodes, and wait until the nodes serve."""
@@ -165,203 +180,203 @@
             )
             value = orjson.loads(process.path.read_bytes())
             seeds.append(value["listeners"]["control"])
-            # From now on every start is a restart.
+            # Every later start of the process is a restart.
             process.path.write_bytes(orjson.dumps({**value, "first_start": False}))
 
     def publish(self) -> None:
-        """Publish the next configuration; its routes stay the same."""
+        """Publish the next version of the configuration, with the same routes."""
         self.version += 1
         teams = [{"name": team, "apiKeys": [key]} for team, key in KEYS.items()]
         value = entry_configuration(self.version, tenants=teams)
         self.site.store.put("keyed.op", "config", value)
 
     async def add_endpoint(self, service: str) -> None:
-        """Start one more endpoint of a service."""
-        name = f"{service}-{next(self.numbers)}"
+        """Start and list a new endpoint of a service."""
+        name = f"{service}-{next(self.endpoint_numbers)}"
         self.listed[name] = service
         self._track_endpoint(name, await self.site.add_runner(name, service))
 
     def _track_endpoint(self, name: str, runner: RunnerStandIn) -> None:
-        """Record a run of an endpoint, and restart it when it crashes."""
+        """Record a run of an endpoint, and arrange its restart after a crash."""
         self.runners.append(runner)
         runner.crash_bodies = self.crash_bodies
         runner.on_crash = lambda: self.recoveries.append(
-            asyncio.create_task(self._recover_endpoint(name))
+            asyncio.create_task(self._restart_after_crash(name))
         )
 
-    async def _recover_endpoint(self, name: str) -> None:
+    async def _restart_after_crash(self, name: str) -> None:
         await asyncio.sleep(CRASH_RECOVERY_S)
         if name in self.listed:
             await self._restart_endpoint(name)
 
     async def _restart_endpoint(self, name: str) -> None:
-        async with self.starting.setdefault(name, asyncio.Lock()):
+        async with self.start_locks.setdefault(name, asyncio.Lock()):
             runner = await self.site.restart_runner(name, self.listed[name])
             self._track_endpoint(name, runner)
 
-    # faults
-
-    async def strike(self, fault: PlannedFault) -> None:
-        """Bring a fault about, and end it when its time is over."""
-        draw = Random(fault.draw)
-        strikes: dict[FaultKind, Callable[[Random, float], Coroutine[Any, Any, None]]]
-        strikes = {
-            FaultKind.KILL: self._kill,
-            FaultKind.STOP: self._stop,
-            FaultKind.PAUSE: self._pause,
-            FaultKind.RELOAD: self._reload,
-            FaultKind.STORE_LINK: self._trouble_store_link,
-            FaultKind.ENDPOINT_LINK: self._trouble_endpoint_link,
+    # Faults
+
+    async def inject(self, fault: PlannedFault) -> None:
+        """Start a fault, and end it after its duration."""
+        rng = Random(fault.seed)
+        injectors: dict[FaultKind, Callable[[Random, float], Coroutine[Any, Any, None]]]
+        injectors = {
+            FaultKind.KILL: self._kill_node,
+            FaultKind.STOP: self._terminate_node,
+            FaultKind.PAUSE: self._pause_node,
+            FaultKind.RELOAD: self._reload_settings,
+            FaultKind.STORE_LINK: self._disturb_store_link,
+            FaultKind.ENDPOINT_LINK: self._disturb_endpoint_link,
             FaultKind.LINK_RESET: self._reset_link,
-            FaultKind.STORE_OUTAGE: self._store_outage,
-            FaultKind.STORE_LOSES: self._store_loses,
-            FaultKind.STORE_FORGETS: self._store_forgets,
-            FaultKind.GROUP_DEALT: self._deal_group,
-            FaultKind.CONFIGURATION: self._publish,
-            FaultKind.ENDPOINT_FAULTS: self._endpoint_faults,
-            FaultKind.ENDPOINT_BREAKS: self._endpoint_breaks,
-            FaultKind.ENDPOINT_LEAVES: self._endpoint_leaves,
-            FaultKind.ENDPOINT_RESTARTS: self._endpoint_restarts,
-            FaultKind.FOREIGN_RECORDS: self._foreign_records,
-            FaultKind.REQUEST_CRASHES: self._request_crashes,
-            FaultKind.ENDPOINT_LIMITS: self._endpoint_limits,
+            FaultKind.STORE_OUTAGE: self._fail_store_listeners,
+            FaultKind.STORE_LOSES_REPLIES: self._lose_store_replies,
+            FaultKind.STORE_COMPACTED: self._compact_store,
+            FaultKind.GROUP_REBALANCED: self._rebalance_group,
+            FaultKind.CONFIGURATION: self._publish_configuration,
+            FaultKind.ENDPOINT_FAULTS: self._add_endpoint_faults,
+            FaultKind.ENDPOINT_BREAKS_STREAMS: self._break_streams,
+            FaultKind.ENDPOINT_LEAVES: self._replace_endpoint,
+            FaultKind.ENDPOINT_RESTARTS: self._restart_random_endpoint,
+            FaultKind.FOREIGN_RECORDS: self._write_foreign_records,
+            FaultKind.REQUEST_CRASHES: self._send_crashing_requests,
+            FaultKind.ENDPOINT_LIMITS: self._state_limits,
         }
         try:
-            await strikes[fault.kind](draw, fault.for_s)
+            await injectors[fault.kind](rng, fault.duration_s)
         except Exception:
-            # A fault that cannot be brought about must not end the others; the run
-            # fails at its end, since it has not shown what it was to show.
+            # The other faults continue. The run fails at its end, because it lacked a
+            # planned fault.
             self.errors.append(f"{fault}: {traceback.format_exc()}")
 
-    def _node(self, draw: Random) -> str:
-        return draw.choice(sorted(self.site.processes))
+    def _choose_node(self, rng: Random) -> str:
+        return rng.choice(sorted(self.site.processes))
 
-    async def _kill(self, draw: Random, for_s: float) -> None:
-        name = self._node(draw)
+    async def _kill_node(self, rng: Random, duration_s: float) -> None:
+        name = self._choose_node(rng)
         await self.site.processes[name].kill()
-        await self.start_again(name)
+        await self.restart_ended_node(name)
 
-    async def _stop(self, draw: Random, for_s: float) -> None:
-        name = self._node(draw)
+    async def _terminate_node(self, rng: Random, duration_s: float) -> None:
+        name = self._choose_node(rng)
         process = self.site.processes[name]
         process.signal(signal.SIGTERM)
         await process.process.wait()
-        await self.start_again(name)
+        await self.restart_ended_node(name)
 
-    async def start_again(self, name: str) -> None:
-        """Start a node whose process has ended, once for all who ended it."""
+    async def restart_ended_node(self, name: str) -> None:
+        """Start a node whose process has ended; several faults start it only once."""
         await asyncio.sleep(RESTART_S)
-        async with self.starting.setdefault(name, asyncio.Lock()):
+        async with self.start_locks.setdefault(name, asyncio.Lock()):
             process = self.site.processes[name]
             if process.process.returncode is not None:
                 await self.site.run_process(name, process.path)
 
-    async def _pause(self, draw: Random, for_s: float) -> None:
-        name = self._node(draw)
+    async def _pause_node(self, rng: Random, duration_s: float) -> None:
+        name = self._choose_node(rng)
         process = self.site.processes[name]
         self.paused_until[name] = float("inf")
         process.signal(signal.SIGSTOP)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         process.signal(signal.SIGCONT)
         self.paused_until[name] = monotonic()
 
-    async def _reload(self, draw: Random, for_s: float) -> None:
-        self.site.processes[self._node(draw)].signal(signal.SIGHUP)
+    async def _reload_settings(self, rng: Random, duration_s: float) -> None:
+        self.site.processes[self._choose_node(rng)].signal(signal.SIGHUP)
 
-    async def _trouble_store_link(self, draw: Random, for_s: float) -> None:
-        await self._trouble(self._node(draw), draw, for_s)
+    async def _disturb_store_link(self, rng: Random, duration_s: float) -> None:
+        await self._disturb_link(self._choose_node(rng), rng, duration_s)
 
-    async def _trouble_endpoint_link(self, draw: Random, for_s: float) -> None:
-        await self._trouble(draw.choice(sorted(self.listed)), draw, for_s)
+    async def _disturb_endpoint_link(self, rng: Random, duration_s: float) -> None:
+        await self._disturb_link(rng.choice(sorted(self.listed)), rng, duration_s)
 
-    async def _trouble(self, name: str, draw: Random, for_s: float) -> None:
+    async def _disturb_link(self, name: str, rng: Random, duration_s: float) -> None:
         link = self.site.links[name]
-        link.set(draw.choice(_LINK_STATES))
-        await asyncio.sleep(for_s)
+        link.set(rng.choice(_LINK_STATES))
+        await asyncio.sleep(duration_s)
         link.set(LinkState.WHOLE)
 
-    async def _reset_link(self, draw: Random, for_s: float) -> None:
-        self.site.links[draw.choice(sorted(self.site.links))].reset()
+    async def _reset_link(self, rng: Random, duration_s: float) -> None:
+        self.site.links[rng.choice(sorted(self.site.links))].reset()
 
-    async def _store_outage(self, draw: Random, for_s: float) -> None:
+    async def _fail_store_listeners(self, rng: Random, duration_s: float) -> None:
         store_listeners = sorted(self.site.store_listeners)
-        struck = draw.sample(store_listeners, draw.randint(1, len(store_listeners)))
-        outage = draw.choice(_OUTAGES)
-        for name in struck:
+        affected = rng.sample(store_listeners, rng.randint(1, len(store_listeners)))
+        outage = rng.choice(_OUTAGES)
+        for name in affected:
             self.site.store_listeners[name].outage = outage
-        await asyncio.sleep(for_s)
-        for name in struck:
+        await asyncio.sleep(duration_s)
+        for name in affected:
             self.site.store_listeners[name].outage = Outage.NONE
 
-    async def _store_loses(self, draw: Random, for_s: float) -> None:
-        store_listener = self.site.store_listeners[self._node(draw)]
+    async def _lose_store_replies(self, rng: Random, duration_s: float) -> None:
+        store_listener = self.site.store_listeners[self._choose_node(rng)]
         store_listener.lose_answers = True
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         store_listener.lose_answers = False
 
-    async def _store_forgets(self, draw: Random, for_s: float) -> None:
-        self.site.store.compact(draw.choice(["keyed.op", "keyed.servers"]))
+    async def _compact_store(self, rng: Random, duration_s: float) -> None:
+        self.site.store.compact(rng.choice(["keyed.op", "keyed.servers"]))
 
-    async def _deal_group(self, draw: Random, for_s: float) -> None:
+    async def _rebalance_group(self, rng: Random, duration_s: float) -> None:
         self.site.store.rebalance(GROUP)
 
-    async def _publish(self, draw: Random, for_s: float) -> None:
+    async def _publish_configuration(self, rng: Random, duration_s: float) -> None:
         self.publish()
 
-    async def _endpoint_faults(self, draw: Random, for_s: float) -> None:
-        runner = self.site.runners[draw.choice(sorted(self.listed))]
-        faults = draw.choices(_ENDPOINT_FAULTS, k=FAULTY_REQUESTS)
+    async def _add_endpoint_faults(self, rng: Random, duration_s: float) -> None:
+        runner = self.site.runners[rng.choice(sorted(self.listed))]
+        faults = rng.choices(_ENDPOINT_FAULTS, k=FAULTY_REQUESTS)
         runner.faults.extend(faults)
 
-    async def _endpoint_breaks(self, draw: Random, for_s: float) -> None:
-        runner = self.site.runners[draw.choice(sorted(self.listed))]
+    async def _break_streams(self, rng: Random, duration_s: float) -> None:
+        runner = self.site.runners[rng.choice(sorted(self.listed))]
         if runner.events:
-            runner.break_after = draw.randint(1, runner.events)
-            await asyncio.sleep(for_s)
+            runner.break_after = rng.randint(1, runner.events)
+            await asyncio.sleep(duration_s)
             runner.break_after = None
 
-    async def _endpoint_leaves(self, draw: Random, for_s: float) -> None:
-        name = draw.choice(sorted(self.listed))
+    async def _replace_endpoint(self, rng: Random, duration_s: float) -> None:
+        name = rng.choice(sorted(self.listed))
         service = self.listed.pop(name)
         await self.add_endpoint(service)
         self.site.list_runner(name, service, state="draining")
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         self.site.store.put("keyed.servers", name, None)
 
-    async def _endpoint_restarts(self, draw: Random, for_s: float) -> None:
-        await self._restart_endpoint(draw.choice(sorted(self.listed)))
+    async def _restart_random_endpoint(self, rng: Random, duration_s: float) -> None:
+        await self._restart_endpoint(rng.choice(sorted(self.listed)))
 
-    async def _request_crashes(self, draw: Random, for_s: float) -> None:
-        body = f"crash-{draw.randrange(1_000_000)}".encode()
-        kind = draw.choice(sorted(KINDS))
+    async def _send_crashing_requests(self, rng: Random, duration_s: float) -> None:
+        body = f"crash-{rng.randrange(1_000_000)}".encode()
+        kind = rng.choice(sorted(REQUEST_KINDS))
         self.crash_bodies.add(body)
-        caller = Caller(self.site, self.asked, self.paused, draw)
-        end = monotonic() + for_s
+        caller = Caller(self.site, self.requests, self.was_paused, rng)
+        end = monotonic() + duration_s
         while monotonic() < end:
-            await caller.ask(self._node(draw), kind, body)
+            await caller.send_request(self._choose_node(rng), kind, body)
             await asyncio.sleep(CRASH_REQUEST_GAP_S)
 
-    async def _endpoint_limits(self, draw: Random, for_s: float) -> None:
-        runner = self.site.runners[draw.choice(sorted(self.listed))]
-        for limit in draw.choices(STATED_LIMITS, k=3):
+    async def _state_limits(self, rng: Random, duration_s: float) -> None:
+        runner = self.site.runners[rng.choice(sorted(self.listed))]
+        for limit in rng.choices(STATED_LIMITS, k=3):
             runner.limit = limit
-            await asyncio.sleep(for_s / 3)
+            await asyncio.sleep(duration_s / 3)
         runner.limit = None
 
-    async def _foreign_records(self, draw: Random, for_s: float) -> None:
-        name = draw.choice(sorted(self.listed))
+    async def _write_foreign_records(self, rng: Random, duration_s: float) -> None:
+        name = rng.choice(sorted(self.listed))
         service = self.listed[name]
-        for key in (name, f"x-{draw.randrange(1000)}"):
-            self.site.store.put("keyed.servers", key, draw.choice(FOREIGN_RECORDS))
-        self.site.store.put_raw("keyed.servers", draw.randbytes(draw.randrange(9)))
-        await asyncio.sleep(for_s)
+        for key in (name, f"x-{rng.randrange(1000)}"):
+            self.site.store.put("keyed.servers", key, rng.choice(FOREIGN_RECORDS))
+        self.site.store.put_raw("keyed.servers", rng.randbytes(rng.randrange(9)))
+        await asyncio.sleep(duration_s)
         if name in self.listed:
             self.site.list_runner(name, service)
 
-    # the end
+    # Recovery
 
     async def recover(self) -> list[Violation]:
-        """End all faults, and return what does not come back."""
+        """End all faults, and return the nodes that do not serve again in time."""
         self.crash_bodies.clear()
         await asyncio.gather(*self.recoveries)
         for link in self.site.links.values():
@@ -392,62 +407,67 @@
             return False
         if await configuration_of(self.site, name) != self.version:
             return False
-        caller = Caller(self.site, self.asked, self.paused, self.rng)
-        statuses = [(await caller.ask(name, kind)).status for kind in ("look", "draft")]
+        caller = Caller(self.site, self.requests, self.was_paused, self.rng)
+        statuses = [
+            (await caller.send_request(name, kind)).status for kind in ("look", "draft")
+        ]
         return statuses == [200, 200]
 
 
-async def _run_faults(run: SoakRun, plan: list[PlannedFault]) -> None:
+async def _inject_faults(run: SoakRun, plan: list[PlannedFault]) -> None:
     started_at = monotonic()
     async with asyncio.TaskGroup() as group:
         for fault in plan:
             await asyncio.sleep(max(0.0, started_at + fault.at_s - monotonic()))
             _LOG.info("fault", extra={"kind": fault.kind.value, "at_s": fault.at_s})
-            group.create_task(run.strike(fault))
+            group.create_task(run.inject(fault))
 
 
 async def soak(seed: int, size: SoakSize, folder: Path) -> SoakReport:
-    """Make one run and return what came of it.
+    """Make one run and return its report.
 
     Parameters
     ----------
     seed : int
-        Draws the faults, and what callers ask. The order in which things happen is
-        the machine's, so a seed that failed once need not fail again.
+        Seed of the faults and of the callers' requests. The order of events also
+        depends on the timing of the processes, so a seed that failed once does not
+        always fail again.
     size : SoakSize
-        How large and how long the run is.
+        Size and duration of the run.
     folder : pathlib.Path
-        Gets the nodes' settings and logs.
+        Folder for the settings and logs of the nodes.
     """
     site = EntrySite(StoreStandIn(), CloudStandIn("127.0.0.1"), linked=True)
     await site.cloud.start()
     run = SoakRun(site, size, Random(seed), folder)
-    plan = draw_plan(seed, size.length_s, size.kinds)
+    plan = draw_plan(seed, size.length_s, size.fault_kinds)
     try:
         await run.start()
         callers = [
             asyncio.create_task(
-                Caller(site, run.asked, run.paused, Random(f"{seed}/{number}")).run()
+                Caller(
+                    site, run.requests, run.was_paused, Random(f"{seed}/{number}")
+                ).run()
             )
             for number in range(size.callers)
         ]
-        await _run_faults(run, plan)
+        await _inject_faults(run, plan)
         violations = await run.recover()
         for task in callers:
             task.cancel()
-        ends = await asyncio.gather(*callers, return_exceptions=True)
-        run.errors += [repr(e) for e in ends if not _was_cancelled(e)]
+        results = await asyncio.gather(*callers, return_exceptions=True)
+        run.errors += [repr(result) for result in results if not _was_cancelled(result)]
     finally:
         for process in site.started:
             process.signal(signal.SIGCONT)
         await site.stop()
     if run.errors:
         raise RuntimeError("\n".join(run.errors))
-    violations += check_requests(run.asked, run.runners, KEYS.values())
+    violations += check_requests(run.requests, run.runners, KEYS.values())
     violations += check_duties(site.cloud.accepted)
     faults = Counter(fault.kind.value for fault in plan)
-    return SoakReport(seed, faults, summary(run.asked), violations)
+    return SoakReport(seed, faults, count_endings(run.requests), violations)
 
 
-def _was_cancelled(end: object) -> bool:
-    return isinstance(end, asyncio.CancelledError)
+def _was_cancelled(result: object) -> bool:
+    return isinstance(result, asyncio.CancelledError)
