--- a/poplarrelay/testing/tests/conftest.py
+++ b/poplarrelay/testing/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The site that most tests on real processes run against."""
+"""Fixture of the site that most tests on real processes use."""
 
 import pytest
 
--- a/poplarrelay/testing/tests/test_at_most_once_on_processes.py
+++ b/poplarrelay/testing/tests/test_at_most_once_on_processes.py
@@ -1,4 +1,4 @@
-"""At most once, on real processes under failure."""
+"""Tests that real processes run a request at most once under failures."""
 
 import contextlib
 import threading
@@ -13,10 +13,10 @@
 pytestmark = pytest.mark.processes
 
 
-def test_same_key_at_three_nodes_at_once_runs_once(site):
+def test_same_key_sent_to_three_nodes_concurrently_runs_once(site):
     answers = []
 
-    def ask(node):
+    def send_request(node):
         reply = site.http_client.call(
             "POST",
             site.nodes[node].address,
@@ -30,7 +30,9 @@
         )
         answers.append((reply.status, str(reply.value)))
 
-    threads = [threading.Thread(target=ask, args=(node,)) for node in site.nodes]
+    threads = [
+        threading.Thread(target=send_request, args=(node,)) for node in site.nodes
+    ]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -40,16 +42,17 @@
     assert answers[0][0] == 200
 
 
-def test_lost_append_answer_runs_once(site):
-    # The claim takes effect and its answer is kept back.
+def test_request_runs_once_when_append_reply_is_lost(site):
+    # The log appends the claim but does not reply to the node in time.
     site.faults("log", lose_answers=2, lost_s=2.0)
     assert confirm(site, "lost-append", "one").status == 200
     assert run_counts(site) == [1]
 
 
-def test_log_outage_refuses_plain_keys_at_once_and_runs_tickets(site):
-    # A plain key cannot be claimed: nobody has run it, all peers say so, and the
-    # caller learns at once when to come back. A ticket needs no log.
+def test_log_outage_rejects_caller_keys_at_once_and_runs_tickets(site):
+    # Without the log a caller key cannot be claimed. All peers report that they have
+    # not run it, so the node rejects the request at once and states when to retry. A
+    # ticket needs no log record.
     site.faults("log", refuse=True)
     wait_until(lambda: not site.status("node-1")["log_available"], 5.0)
     started = time.monotonic()
@@ -63,35 +66,37 @@
     assert run_counts(site) == [1, 1]
 
 
-def test_frozen_home_of_a_ticket_is_unknown_and_runs_at_most_once(site):
-    # The ticket's home is frozen. Another node cannot reach it and says "unknown".
-    # Thawed, the home may run what it had been sent, once.
+def test_ticket_of_frozen_owner_is_unknown_and_runs_at_most_once(site):
+    # The owner of the ticket is paused. Another node cannot reach it and answers
+    # "unknown". After the owner resumes, it can still run the forwarded request, but
+    # only once.
     client = site.client("alpha")
     address, ticket = client.new_ticket()
-    home = next(n for n, p in site.nodes.items() if p.address == address)
-    site.nodes[home].freeze()
+    owner = next(n for n, p in site.nodes.items() if p.address == address)
+    site.nodes[owner].freeze()
     with pytest.raises(AnswerUnknown):
         confirm(site, ticket, "frozen", timeout_s=3.0)
-    site.nodes[home].thaw()
-    wait_until(lambda: site.ready(home))
+    site.nodes[owner].thaw()
+    wait_until(lambda: site.ready(owner))
     with contextlib.suppress(AnswerUnknown):
         confirm(site, ticket, "frozen", timeout_s=5.0)
     assert sum(run_counts(site)) <= 1
 
 
-def test_crashed_home_of_a_claim_is_unknown_and_not_run_again(site):
-    # The node that claimed the key dies after the desk ran it and before it could
-    # answer. Nobody else runs it, and nobody says that it was not run.
+def test_claim_of_crashed_owner_is_unknown_and_not_run_again(site):
+    # The node that claimed the key crashes after the service ran the request and before
+    # the node could answer. No other node may run it again or answer that it has not
+    # run.
     site.faults("desk-1", slow_s=2.0)
     failures = []
 
-    def ask():
+    def send_request():
         try:
             confirm(site, "crashed", "one", timeout_s=6.0)
         except (AnswerNotRun, AnswerUnknown) as failure:
             failures.append(failure)
 
-    caller = threading.Thread(target=ask)
+    caller = threading.Thread(target=send_request)
     caller.start()
     node = wait_until(lambda: busy_node(site))
     wait_until(lambda: run_counts(site) == [1])
@@ -101,27 +106,27 @@
     assert run_counts(site) == [1]
 
 
-def test_desk_that_runs_and_does_not_answer_is_unknown(site):
+def test_service_that_runs_request_without_reply_is_unknown(site):
     site.faults("desk-1", lose_answers=1, lost_s=5.0)
     with pytest.raises(AnswerUnknown):
         confirm(site, None, "silent", timeout_s=2.0)
     assert run_counts(site) == [1]
 
 
-def test_restarted_node_knows_the_claims_of_before(site):
+def test_restarted_node_has_its_earlier_claims(site):
     first = confirm(site, "before", "one")
 
-    def claimant():
-        # The line may be written after the answer has arrived.
+    def claiming_node():
+        # The node can write the log line after the caller has received the response.
         for node, process in site.nodes.items():
             if any(line["message"] == "claim" for line in process.log_lines()):
                 return node
         return None
 
-    home = wait_until(claimant)
-    site.nodes[home].kill()
-    site.start_node(home)
-    wait_until(lambda: site.ready(home))
+    owner = wait_until(claiming_node)
+    site.nodes[owner].kill()
+    site.start_node(owner)
+    wait_until(lambda: site.ready(owner))
     with pytest.raises(AnswerUnknown):
         confirm(site, "before", "one", timeout_s=2.0)
     assert first.status == 200
--- a/poplarrelay/testing/tests/test_configuration.py
+++ b/poplarrelay/testing/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration on real processes: accepted means in force, everywhere, for good."""
+"""Tests that an accepted configuration comes into force at all real node processes."""
 
 import threading
 import time
@@ -62,39 +62,40 @@
     return {e["subject"]: e["body"] for e in value["entries"]}[SUBJECT]
 
 
-def test_an_accepted_change_is_in_force_everywhere_within_seconds(site):
+def test_accepted_change_is_in_force_at_all_nodes_within_seconds(site):
     answer = change(site, "node-1", 7)
     assert answer["status"] == "accepted"
     wait_everywhere(site, answer["offset"])
     assert {in_force(site, node)["priority"] for node in site.nodes} == {7}
 
 
-def test_racing_operators_get_one_winner_and_typed_conflicts(site):
-    # Three operators have seen the same state and change it through three nodes at
-    # once. One change wins everywhere; the others learn which offset beat them.
-    seen = offsets(site)[0]
+def test_concurrent_changes_get_one_winner_and_conflict_errors(site):
+    # Three operators read the same state and change it through three nodes
+    # concurrently. One change is accepted at all nodes; the other operators get the
+    # offset of that change.
+    current_offset = offsets(site)[0]
     answers = []
 
-    def race(node, priority):
-        answers.append(change(site, node, priority, after=seen))
+    def send_change(node, priority):
+        answers.append(change(site, node, priority, after=current_offset))
 
     threads = [
-        threading.Thread(target=race, args=(node, 10 + index))
+        threading.Thread(target=send_change, args=(node, 10 + index))
         for index, node in enumerate(site.nodes)
     ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    won = [a for a in answers if a["status"] == "accepted"]
-    lost = [a for a in answers if a["status"] == 409]
-    assert len(won) == 1
-    assert len(lost) == 2
-    assert {a["winner"] for a in lost} == {won[0]["offset"]}
-    wait_everywhere(site, won[0]["offset"])
+    accepted = [a for a in answers if a["status"] == "accepted"]
+    rejected = [a for a in answers if a["status"] == 409]
+    assert len(accepted) == 1
+    assert len(rejected) == 2
+    assert {a["winner"] for a in rejected} == {accepted[0]["offset"]}
+    wait_everywhere(site, accepted[0]["offset"])
 
 
-def test_a_lost_append_answer_does_not_double_or_undo_a_change(site):
+def test_lost_append_reply_does_not_repeat_or_undo_a_change(site):
     site.faults("log", lose_answers=1, lost_s=1.5)
     first = change(site, "node-1", 21)
     assert first["status"] == "accepted"
@@ -105,7 +106,7 @@
     assert {in_force(site, node)["priority"] for node in site.nodes} == {22}
 
 
-def test_a_change_that_is_not_valid_is_refused_before_it_is_ordered(site):
+def test_invalid_change_is_rejected_before_it_is_appended(site):
     before = site.get(site.platform["log"], "/statistics")["records"]["configuration"]
     body = deployment_body("beta", failure_domains=["nowhere"], models=["none"])
     answer = site.publish("node-1", SUBJECT, body)
@@ -118,7 +119,7 @@
     assert kinds >= before
 
 
-def test_an_old_record_put_back_by_a_script_changes_nothing(site):
+def test_old_record_appended_again_changes_nothing(site):
     first = change(site, "node-1", 31)
     second = change(site, "node-1", 32)
     log = site.platform["log"]
@@ -132,7 +133,7 @@
     assert second["offset"] < third["offset"]
 
 
-def test_no_change_is_accepted_while_the_log_is_away(site):
+def test_no_change_is_accepted_while_the_log_is_unreachable(site):
     site.faults("log", refuse=True)
     wait_until(lambda: not log_available(site, "node-1"))
     answer = change(site, "node-1", 41)
@@ -141,7 +142,7 @@
     assert all(site.ready(node) for node in site.nodes)
 
 
-def test_a_node_that_starts_in_an_outage_learns_from_its_peers(site):
+def test_node_that_starts_in_log_outage_gets_configuration_from_peers(site):
     accepted = change(site, "node-1", 51)
     wait_everywhere(site, accepted["offset"])
     site.faults("log", refuse=True)
@@ -151,7 +152,7 @@
     assert in_force(site, "node-3")["priority"] == 51
 
 
-def test_a_node_that_reaches_neither_log_nor_peers_is_not_ready(site):
+def test_node_without_log_and_peers_is_not_ready(site):
     site.faults("log", refuse=True)
     for node in site.nodes:
         site.nodes[node].kill()
@@ -164,8 +165,9 @@
 
 
 def test_trimmed_records_are_replaced_by_a_snapshot():
-    # The log keeps a few seconds only. After that a node starts, from a snapshot and
-    # the records behind it, and an outage longer than the retention is survived.
+    # The log retains records for a few seconds only. A node that starts later must use
+    # a snapshot and the records after it. The nodes must also recover from a log outage
+    # that is longer than the retention.
     options = ["--retention-s", "6"]
     with run_site(
         small_site(engines=1), settings=SHORT_TIMEOUTS, log_options=options
@@ -190,8 +192,8 @@
         wait_everywhere(running, again["offset"], 10.0)
 
 
-def _linked(running, node):
-    """Put a link between a node and the log, and start the node again."""
+def _restart_behind_link(running, node):
+    """Put a link between a node and the log, and restart the node."""
     link = Link(loopback_host(10), running.platform["log"])
     running.node_settings[node]["platform"]["log"] = link.address
     running.nodes[node].kill()
@@ -200,10 +202,10 @@
     return link
 
 
-def test_a_node_cut_from_the_log_learns_changes_from_its_peers(site):
-    # Only this node loses the log. A change that the others accept reaches it
-    # through them, and it stays ready.
-    link = _linked(site, "node-3")
+def test_node_partitioned_from_log_gets_changes_from_its_peers(site):
+    # Only this node is partitioned from the log. It must get a change that its peers
+    # accept from them, and stay ready.
+    link = _restart_behind_link(site, "node-3")
     link.set(LinkState.CUT)
     wait_until(lambda: not log_available(site, "node-3"))
     accepted = change(site, "node-1", 71)
@@ -213,10 +215,10 @@
     link.stop()
 
 
-def test_a_node_whose_answers_from_the_log_are_lost_does_not_claim(site):
-    # Appends arrive and no answer comes back. A change sent through this node may
-    # come into force, and the operator is told that this is not known.
-    link = _linked(site, "node-3")
+def test_node_that_gets_no_log_replies_does_not_accept_a_change(site):
+    # The log gets the appends of the node, but its replies are lost. A change sent
+    # through this node can come into force, and the node must not answer "accepted".
+    link = _restart_behind_link(site, "node-3")
     link.set(LinkState.ONE_WAY)
     wait_until(lambda: not log_available(site, "node-3"))
     answer = change(site, "node-3", 81)
@@ -228,9 +230,9 @@
     link.stop()
 
 
-def test_a_lone_node_cut_from_the_log_steps_aside():
+def test_single_node_partitioned_from_log_is_not_ready():
     with run_site(small_site(nodes=1, engines=1), settings=SHORT_TIMEOUTS) as running:
-        link = _linked(running, "node-1")
+        link = _restart_behind_link(running, "node-1")
         link.set(LinkState.CUT)
         wait_until(lambda: not running.ready("node-1"), 10.0)
         link.set(LinkState.WHOLE)
@@ -238,9 +240,10 @@
         link.stop()
 
 
-def test_a_frozen_holder_of_a_duty_is_replaced(site):
-    # The holder of the placement duty is frozen past its term. Another node takes
-    # the duty with a higher fencing number; thawed, the old one does not get it back.
+def test_frozen_holder_of_a_duty_is_replaced(site):
+    # The holder of the placement duty is paused for longer than its lease term. Another
+    # node takes the duty with a higher fencing token. After the old holder resumes, it
+    # does not get the duty back.
     def duty(node):
         return (site.status(node) or {"duties": {}})["duties"].get("placement", {})
 
@@ -255,10 +258,10 @@
     wait_until(lambda: duty(holder).get("holder") == duty(other)["holder"], 10.0)
 
 
-def test_a_stale_order_is_corrected():
-    # An engine that does not check fencing numbers takes an order of an earlier
-    # holder. Its load report shows a state that nobody wants, and the holder of the
-    # duty orders again.
+def test_stale_model_order_is_corrected():
+    # An engine that does not check fencing tokens accepts an order of an earlier duty
+    # holder. Its load report then shows models that differ from the placement, and the
+    # current holder must send its order again.
     template = {"runners": {"small": 1}, "models": ["small", "large"]}
     engine = {"names": ["small", "large"], "checks_fencing": False}
     with run_site(
@@ -266,15 +269,15 @@
     ) as running:
         engines = [running.endpoints[f"engine-{n}"].address for n in (1, 2)]
 
-        def loaded():
+        def loaded_models():
             return [set(running.get(a, "/orders")["models"]) for a in engines]
 
-        def settled():
-            return sum("small" in models for models in loaded()) == 1
+        def one_engine_has_small():
+            return sum("small" in models for models in loaded_models()) == 1
 
-        wait_until(settled, 30.0, "one engine has the model")
-        placed = engines[["small" in models for models in loaded()].index(True)]
+        wait_until(one_engine_has_small, 30.0, "one engine has the model")
+        placed = engines[["small" in models for models in loaded_models()].index(True)]
         stale = {"fencing": 0, "holder": "old", "models": ["large"], "role": "serve"}
         running.post(placed, "/orders", stale)
         assert running.get(placed, "/orders")["models"] == ["large"]
-        wait_until(settled, 15.0, "the stale order is corrected")
+        wait_until(one_engine_has_small, 15.0, "the stale order is corrected")
--- a/poplarrelay/testing/tests/test_examples.py
+++ b/poplarrelay/testing/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The small examples run and print what their pages say."""
+"""Tests that the examples print the output that their pages show."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 import pytest
 
 EXAMPLES = Path(__file__).parents[3] / "examples"
-PRINTED = {
+EXPECTED_LINES = {
     "choose_an_endpoint": ["cheap-busy: first token in 0.97 s"],
     "fold_a_change": [
         "0 first: in force",
@@ -23,13 +23,13 @@
 }
 
 
-@pytest.mark.parametrize("name", PRINTED)
-def test_example(name):
-    done = subprocess.run(
+@pytest.mark.parametrize("name", EXPECTED_LINES)
+def test_example_prints_its_documented_output(name):
+    process = subprocess.run(
         [sys.executable, str(EXAMPLES / f"{name}.py")],
         capture_output=True,
         text=True,
         check=True,
         timeout=30,
     )
-    assert done.stdout.splitlines() == PRINTED[name]
+    assert process.stdout.splitlines() == EXPECTED_LINES[name]
--- a/poplarrelay/testing/tests/test_leaving_endpoints.py
+++ b/poplarrelay/testing/tests/test_leaving_endpoints.py
@@ -1,4 +1,4 @@
-"""Reclaims of endpoints under live streams."""
+"""Tests of reclaims of endpoints while they run streams."""
 
 import threading
 import time
@@ -17,35 +17,36 @@
 pytestmark = pytest.mark.processes
 
 
-def test_announced_reclaim_of_a_domain_and_then_the_next_loses_nothing(site):
-    # Notice for one failure domain, two seconds later for the next; each goes two
-    # seconds after its notice, and the notices are doubled.
+def test_reclaims_of_two_domains_with_notice_lose_no_token(site):
+    # A reclaim notice arrives for one failure domain, and two seconds later for the
+    # next. An endpoint of each domain is killed two seconds after its notice, and each
+    # notice is sent twice.
     results = {}
 
-    def ask(number):
+    def complete(number):
         prompt = f"{PROMPT} {number}"
         client = site.client("alpha", seed=number)
         results[number] = client.complete("small", prompt, 300).tokens == whole(
             prompt, 300
         )
 
-    threads = [threading.Thread(target=ask, args=(n,)) for n in range(12)]
+    threads = [threading.Thread(target=complete, args=(n,)) for n in range(12)]
     for thread in threads:
         thread.start()
     wait_until(lambda: busy_endpoint(site))
-    for domain, victim in (("east", "engine-1"), ("west", "engine-2")):
+    for domain, endpoint in (("east", "engine-1"), ("west", "engine-2")):
         site.notice(2.0, failure_domain=domain)
         site.notice(2.0, failure_domain=domain)
         time.sleep(2.0)
-        site.endpoints[victim].kill()
+        site.endpoints[endpoint].kill()
     for thread in threads:
         thread.join()
     assert results == {number: True for number in range(12)}
 
 
-def test_notice_reaches_a_node_that_the_platform_does_not_tell(site):
-    # The host list is stale, and only one node hears the notice, from its peers'
-    # side. Every node stops sending new work there within a second.
+def test_all_nodes_apply_notice_when_host_list_is_stale(site):
+    # The host list is stale and does not show that the endpoint leaves. Every node must
+    # learn it from the notice, and send no new requests there after one second.
     site.faults("hosts", stale=True)
     site.notice(30.0, endpoint="engine-1")
     started = time.monotonic()
@@ -63,9 +64,9 @@
     assert time.monotonic() - started < 1.0
 
 
-def test_engine_that_dies_while_its_cache_moves(site):
-    # The cache is read by the next engine when the old one dies. The next engine
-    # computes it again, and the caller sees every token once.
+def test_stream_is_complete_when_engine_crashes_during_cache_move(site):
+    # The old engine crashes while the next engine reads its cache. The next engine must
+    # recompute the cache, and the caller must get every token once.
     for engine in range(1, 5):
         site.faults(f"engine-{engine}", die_on_export=True)
     stream, result = start_stream(site, 500)
--- a/poplarrelay/testing/tests/test_leaving_nodes.py
+++ b/poplarrelay/testing/tests/test_leaving_nodes.py
@@ -1,4 +1,4 @@
-"""Planned stops of nodes cut nothing off."""
+"""Tests that no request is lost when a node stops, crashes or is paused."""
 
 import signal
 import time
@@ -22,14 +22,14 @@
 
 pytestmark = pytest.mark.processes
 
-#: Pause that is longer than one try to copy a deferred request.
+#: Seconds of a pause that is longer than one attempt to copy a deferred request.
 PAUSE_S = 1.1
-#: Time after a crash in which its peers take notice and take over.
+#: Seconds after the crash of a node in which its peers detect it and take over.
 WATCHED_S = 4.0
 
 
-def test_terminated_node_cuts_off_no_stream(site):
-    # The stream ends before the node has to.
+def test_terminated_node_finishes_a_short_stream(site):
+    # The stream ends before the time limit of the node's drain.
     stream, result = start_stream(site, 150)
     node = site.nodes[wait_until(lambda: busy_node(site))]
     node.signal(signal.SIGTERM)
@@ -39,9 +39,9 @@
     assert node.popen.wait(timeout=20.0) == 0
 
 
-def test_terminated_node_hands_a_long_stream_to_a_peer(site):
-    # The stream is longer than the node's time to leave. The caller is told where
-    # to go on and from which index.
+def test_terminated_node_hands_over_a_long_stream(site):
+    # The stream is longer than the node's time to drain. The node must tell the caller
+    # at which node and from which index to resume.
     stream, result = start_stream(site, 900)
     node = site.nodes[wait_until(lambda: busy_node(site))]
     node.signal(signal.SIGTERM)
@@ -51,15 +51,15 @@
     assert node.popen.wait(timeout=20.0) == 0
 
 
-def test_outcomes_of_tickets_and_deferred_requests_move(site):
-    # A node runs a booking and a patient report, and leaves. Another node answers
-    # for both.
+def test_outcomes_of_tickets_and_deferred_requests_are_handed_over(site):
+    # A node runs a booking and a deferred request, and leaves. Another node must return
+    # the outcomes of both.
     client = site.client("alpha")
     booked = client.call_service("booking", "/confirm", b'{"seat": "moved"}')
-    home = booked.key.split(".")[1]
-    known = (site.nodes[home].address,)
-    at_home = CallerClient(known, team_token("alpha"), 1)
-    at_home._discovery._keep(
+    owner = booked.key.split(".")[1]
+    known = (site.nodes[owner].address,)
+    owner_client = CallerClient(known, team_token("alpha"), 1)
+    owner_client._discovery._keep(
         {
             "addresses": [
                 {"address": known[0], "failure_domain": "east", "ticket": "t1"}
@@ -68,20 +68,20 @@
         }
     )
     body = {"model": "small", "prompt": PROMPT, "max_tokens": 5}
-    report = at_home.defer("/v1/completions", body)
-    at_home.wait_for(report.id, 20.0)
-    site.nodes[home].signal(signal.SIGTERM)
-    assert site.nodes[home].popen.wait(timeout=20.0) == 0
-    del site.nodes[home]
+    accepted = owner_client.defer("/v1/completions", body)
+    owner_client.wait_for(accepted.id, 20.0)
+    site.nodes[owner].signal(signal.SIGTERM)
+    assert site.nodes[owner].popen.wait(timeout=20.0) == 0
+    del site.nodes[owner]
     others = site.client("alpha", seed=5)
     again = others.call_service(
         "booking", "/confirm", b'{"seat": "moved"}', key=booked.key
     )
     assert again.body == booked.body
-    assert others.fetch(report.id).status == "answered"
+    assert others.fetch(accepted.id).status == "answered"
 
 
-def test_second_signal_hurries(site):
+def test_second_signal_shortens_the_drain(site):
     stream, result = start_stream(site, 900)
     node = site.nodes[wait_until(lambda: busy_node(site))]
     node.signal(signal.SIGTERM)
@@ -95,35 +95,37 @@
     steps = {line.get("step"): line for line in node.log_lines()}
     assert steps["hurrying"]["within_s"] < steps["leaving"]["within_s"]
     assert _seconds(steps["left"]) - _seconds(steps["leaving"]) < 6.0
-    handed = [line for line in node.log_lines() if "to" in line and "step" not in line]
-    unhurried_s = _seconds(steps["leaving"]) + 6.0 - HANDOVER_SHARE * 6.0
-    assert _seconds(handed[0]) < unhurried_s
-    # As operators see it, the end of the interpreter and waits for a processor
-    # included; the parts tell which of them took the time.
-    parts = {
+    handover_lines = [
+        line for line in node.log_lines() if "to" in line and "step" not in line
+    ]
+    normal_handover_s = _seconds(steps["leaving"]) + 6.0 - HANDOVER_SHARE * 6.0
+    assert _seconds(handover_lines[0]) < normal_handover_s
+    # The time that an operator sees includes the exit of the interpreter and waits for
+    # a processor. On failure, the times of the steps show which part was slow.
+    step_times = {
         name: round(_seconds(line) - signalled_at, 2)
         for name, line in steps.items()
         if name is not None
     }
-    assert ended_at - signalled_at < 5.0, parts
+    assert ended_at - signalled_at < 5.0, step_times
 
 
 def _seconds(line):
     return datetime.strptime(line["time"], "%Y-%m-%d %H:%M:%S,%f").timestamp()
 
 
-def test_deferred_requests_survive_the_crash_of_their_home(site):
-    # A node accepts patient reports and dies without any notice, with one answered
-    # and one not yet run. A peer holds copies of both: it keeps the answer, runs the
-    # other, and any node tells the caller.
-    victim = site.nodes["node-1"]
+def test_deferred_requests_survive_the_crash_of_their_owner(site):
+    # A node accepts two deferred requests and crashes after it has answered one.
+    # A peer holds copies of both: it must keep the stored response and run the other
+    # request, and any node must return both outcomes.
+    owner = site.nodes["node-1"]
     headers = {"Authorization": f"Bearer {team_token('alpha')}"}
 
     def defer(prompt, max_tokens):
         body = {"model": "small", "prompt": prompt, "max_tokens": max_tokens}
         reply = site.http_client.call(
             "POST",
-            victim.address,
+            owner.address,
             "/v1/requests",
             {"url": "/v1/completions", "body": body},
             timeout_s=5.0,
@@ -132,50 +134,53 @@
         assert reply.status == 202
         return reply.value["id"]
 
-    done = defer("first report", 3)
+    answered = defer("first report", 3)
     client = site.client("alpha")
-    client.wait_for(done, 20.0)
+    client.wait_for(answered, 20.0)
     wait_until(
         lambda: any(
-            line["message"] == "end" and line["request"] == done
-            for line in victim.log_lines()
+            line["message"] == "end" and line["request"] == answered
+            for line in owner.log_lines()
         )
     )
-    open_still = defer("second report", 400)
-    victim.kill()
+    unfinished = defer("second report", 400)
+    owner.kill()
     del site.nodes["node-1"]
     others = site.client("alpha", seed=3)
-    found = wait_until(lambda: _answer(others, open_still), 30.0, "the second report")
+    found = wait_until(
+        lambda: _fetched_text(others, unfinished), 30.0, "the second report"
+    )
     assert found == "".join(whole("second report", 400))
-    assert _answer(others, done) == "".join(whole("first report", 3))
+    assert _fetched_text(others, answered) == "".join(whole("first report", 3))
 
 
-def test_answers_survive_a_peer_that_was_paused(site):
-    # Guards against an old copy at a peer that takes back what callers have fetched.
-    home, paused = site.nodes["node-1"], site.nodes["node-2"]
+def test_responses_survive_a_peer_that_was_paused(site):
+    # The owner crashes after a peer was paused. An old copy of a request at that peer
+    # must not replace an outcome that callers have fetched.
+    owner, paused = site.nodes["node-1"], site.nodes["node-2"]
     body = {"model": "small", "prompt": "first report", "max_tokens": 3}
     deferred = {"url": "/v1/completions", "body": body}
     paused.signal(signal.SIGSTOP)
     try:
         replies = [
-            _call(site, "POST", home, "/v1/requests", deferred) for _ in range(4)
+            _call(site, "POST", owner, "/v1/requests", deferred) for _ in range(4)
         ]
         time.sleep(PAUSE_S)
     finally:
         paused.signal(signal.SIGCONT)
-    reports = [reply.value["id"] for reply in replies]
-    for report in reports:
-        wait_until(partial(_told_answered, site, home, report))
-    home.kill()
+    request_ids = [reply.value["id"] for reply in replies]
+    for request_id in request_ids:
+        wait_until(partial(_is_answered, site, owner, request_id))
+    owner.kill()
     del site.nodes["node-1"]
     until = time.monotonic() + WATCHED_S
     while time.monotonic() < until:
         for node in site.nodes.values():
-            words = {_word(site, node, report) for report in reports}
-            assert words <= {"answered", "not known"}, (node.name, words)
-    for report in reports:
+            statuses = {_status(site, node, request_id) for request_id in request_ids}
+            assert statuses <= {"answered", "not known"}, (node.name, statuses)
+    for request_id in request_ids:
         for node in site.nodes.values():
-            wait_until(partial(_told_answered, site, node, report))
+            wait_until(partial(_is_answered, site, node, request_id))
 
 
 def _call(site, method, node, path, body=None):
@@ -185,19 +190,19 @@
     )
 
 
-def _word(site, node, request):
-    """Return what a node says of a request."""
+def _status(site, node, request):
+    """Return the status of a request at a node, or the HTTP status of an error."""
     reply = _call(site, "GET", node, f"/v1/requests/{request}")
     if reply.status == HTTPStatus.BAD_GATEWAY:
         return "not known"
     return reply.value["status"] if reply.ok else reply.status
 
 
-def _told_answered(site, node, request):
-    return _word(site, node, request) == "answered"
+def _is_answered(site, node, request):
+    return _status(site, node, request) == "answered"
 
 
-def _answer(client, request):
+def _fetched_text(client, request):
     try:
         found = client.fetch(request)
     except ClientError:
--- a/poplarrelay/testing/tests/test_membership.py
+++ b/poplarrelay/testing/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership and discovery on real processes."""
+"""Tests of membership and discovery on real processes."""
 
 import time
 
@@ -19,23 +19,23 @@
         yield running
 
 
-def named(site, asked):
+def listed_nodes(site, node):
     reply = site.http_client.call(
         "GET",
-        site.nodes[asked].address,
+        site.nodes[node].address,
         "/v1/addresses",
         headers={"Authorization": f"Bearer {team_token('alpha')}"},
     )
     return {item["node"] for item in reply.value["addresses"]}
 
 
-def named_often(site, asked):
-    return set().union(*(named(site, asked) for _ in range(15)))
+def nodes_in_replies(site, node):
+    return set().union(*(listed_nodes(site, node) for _ in range(15)))
 
 
-def test_discovery_names_all_nodes_over_all_domains(site):
-    # A busy machine may make a node miss a probe; it is left out until it has denied
-    # the suspicion, so the condition is waited for.
+def test_discovery_lists_nodes_of_all_failure_domains(site):
+    # A node on a busy machine can miss a probe. Discovery omits it until it has refuted
+    # the suspicion, so the test waits for the condition.
     def domains():
         reply = site.http_client.call(
             "GET",
@@ -45,27 +45,28 @@
         )
         return {item["failure_domain"] for item in reply.value["addresses"]}
 
-    wait_until(lambda: named_often(site, "node-1") == set(site.nodes), 10.0)
+    wait_until(lambda: nodes_in_replies(site, "node-1") == set(site.nodes), 10.0)
     wait_until(lambda: domains() == {"east", "west", "north", "south"}, 10.0)
 
 
 @pytest.mark.parametrize("how", ["kill", "freeze"])
-def test_a_node_that_is_gone_or_frozen_is_named_no_longer(site, how):
-    # A killed node refuses connections; a frozen one accepts them and is silent.
+def test_killed_or_frozen_node_is_removed_from_discovery(site, how):
+    # A killed node refuses connections; a paused node accepts them and does not reply.
     getattr(site.nodes["node-5"], how)()
-    wait_until(lambda: "node-5" not in named_often(site, "node-1"), 5.0)
+    wait_until(lambda: "node-5" not in nodes_in_replies(site, "node-1"), 5.0)
     if how == "freeze":
         site.nodes["node-5"].thaw()
-        wait_until(lambda: "node-5" in named_often(site, "node-1"), 10.0)
+        wait_until(lambda: "node-5" in nodes_in_replies(site, "node-1"), 10.0)
 
 
-def test_a_leaving_node_is_named_no_longer_at_once(site):
+def test_leaving_node_is_removed_from_discovery_at_once(site):
     started = time.monotonic()
     address = site.peers_address("node-5")
     site.post(address, "/operator/drain", {"within_s": 5.0})
     others = ("node-1", "node-2", "node-3", "node-4")
     wait_until(
-        lambda: all("node-5" not in named_often(site, other) for other in others), 5.0
+        lambda: all("node-5" not in nodes_in_replies(site, other) for other in others),
+        5.0,
     )
     assert time.monotonic() - started < 2.0
     assert site.nodes["node-5"].popen.wait(timeout=20.0) == 0
@@ -76,13 +77,13 @@
     site.nodes["node-5"].kill()
     site.start_node("node-5")
     wait_until(lambda: site.ready("node-5"))
-    wait_until(lambda: "node-5" in named_often(site, "node-1"))
+    wait_until(lambda: "node-5" in nodes_in_replies(site, "node-1"))
     assert site.status("node-5")["incarnation"] != before
 
 
-def test_a_whole_domain_goes_and_the_rest_serves(site):
+def test_other_nodes_serve_after_loss_of_a_failure_domain(site):
     for node in ("node-1", "node-5"):
         site.nodes.pop(node).kill()
-    wait_until(lambda: not {"node-1", "node-5"} & named_often(site, "node-2"), 8.0)
+    wait_until(lambda: not {"node-1", "node-5"} & nodes_in_replies(site, "node-2"), 8.0)
     result = site.client("alpha").complete("small", "after the loss", 5)
     assert len(result.tokens) == 5
--- a/poplarrelay/testing/tests/test_teams.py
+++ b/poplarrelay/testing/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Teams do not meet, and what is given up ends at once."""
+"""Tests of the separation of teams, of reused keys and of deadlines."""
 
 import time
 
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.processes
 
 
-def test_two_teams_with_the_same_key_do_not_meet(site):
+def test_same_key_of_two_teams_identifies_two_requests(site):
     body = b'{"seat": "shared"}'
     first = site.client("alpha").call_service("booking", "/a", body, key="same")
     second = site.client("beta").call_service("booking", "/b", body, key="same")
@@ -18,16 +18,16 @@
     assert sorted(run_counts(site)) == [1, 1]
 
 
-def test_key_that_comes_back_with_other_work_is_refused(site):
+def test_key_reused_for_another_request_is_rejected(site):
     confirm(site, "reused", "one")
     with pytest.raises(RequestRefused) as caught:
         confirm(site, "reused", "two")
     assert caught.value.problem["status"] == 422
 
 
-def test_request_given_up_is_answered_at_once(site):
-    # No endpoint takes the request. Its deadline is short; it ends then, and says
-    # when to come back.
+def test_request_is_answered_soon_after_its_deadline(site):
+    # All engines are paused, so no endpoint runs the request. The node must answer soon
+    # after the short deadline of the request.
     for engine in range(1, 5):
         site.endpoints[f"engine-{engine}"].freeze()
     started = time.monotonic()
--- a/poplarrelay/testing/tests/test_whole_answers.py
+++ b/poplarrelay/testing/tests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers, whatever an engine or a node does."""
+"""Tests that callers get complete responses when an engine or a node fails."""
 
 import pytest
 
@@ -28,10 +28,10 @@
     ],
     ids=lambda faults: next(iter(faults)),
 )
-def test_faulty_engine_does_not_show_in_the_answer(site, faults):
-    # The engine that runs the stream dies, stalls, cuts it, leaves a token out,
-    # sends one twice or sends another attempt's. The node drops what does not
-    # belong and goes on at another engine from the next index.
+def test_response_is_complete_despite_faulty_engines(site, faults):
+    # An engine crashes, stalls, cuts the stream, omits a token, repeats a token, or
+    # sends a token of another attempt. The node must drop the wrong tokens and continue
+    # at another engine from the next index.
     site.faults("engine-1", **faults)
     site.faults("engine-2", **faults)
     results = []
@@ -42,19 +42,20 @@
     assert results == [True] * 4
 
 
-def test_frozen_engine_is_left_for_another(site):
-    # The engine accepts and never goes on; its sockets stay open.
+def test_stream_moves_from_frozen_engine_to_another(site):
+    # The engine is paused during the stream: its sockets stay open, but it sends no
+    # more tokens.
     stream, result = start_stream(site, 200)
-    victim = wait_until(lambda: busy_endpoint(site))
-    site.endpoints[victim].freeze()
+    engine = wait_until(lambda: busy_endpoint(site))
+    site.endpoints[engine].freeze()
     drain_stream(stream)
     assert result.tokens == whole(PROMPT, 200)
     assert result.streams == 1
 
 
-def test_crashed_node_costs_the_caller_no_token(site):
-    # The node dies in the middle of a stream. The caller's library goes on at
-    # another node from the next index.
+def test_caller_gets_every_token_after_node_crash(site):
+    # The node crashes in the middle of a stream. The client library must resume the
+    # stream at another node from the next index.
     stream, result = start_stream(site, 200)
     site.nodes[wait_until(lambda: busy_node(site))].kill()
     drain_stream(stream)
@@ -62,9 +63,9 @@
     assert result.streams >= 2
 
 
-def test_deferred_answer_is_whole_after_its_engine_broke(site):
-    # The engine stalls in the middle of a report that nobody waits for. The attempt
-    # goes on at another engine; the tokens of the first one belong to the answer.
+def test_deferred_response_is_complete_after_engine_stalls(site):
+    # The engine stalls in the middle of a deferred request. The request continues at
+    # another engine, and the response must include the tokens of the first engine.
     for engine in ("engine-1", "engine-2", "engine-3"):
         site.faults(engine, stall_after_tokens=10)
     client = site.client("alpha")
--- a/poplarrelay/testing/tests/test_whole_path.py
+++ b/poplarrelay/testing/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The five kinds of request, through separate processes."""
+"""Tests of the five kinds of request through separate processes."""
 
 import pytest
 
@@ -17,13 +17,13 @@
         yield running
 
 
-def test_streamed_completion_is_whole(site):
+def test_streamed_completion_is_complete(site):
     result = site.client("alpha").complete("small", PROMPT, 12)
     assert result.tokens == [token_text(PROMPT, index) for index in range(12)]
     assert result.usage["completion_tokens"] == 12
 
 
-def test_completion_without_stream_is_whole(site):
+def test_completion_without_stream_is_complete(site):
     address = next(iter(site.nodes.values())).address
     reply = site.http_client.call(
         "POST",
@@ -43,13 +43,13 @@
     assert text == "".join(token_text(prompt, index) for index in range(5))
 
 
-def test_plain_service_answers(site):
+def test_service_call_without_key_is_answered(site):
     answer = site.client("alpha").call_service("booking", "/seats?day=3", method="GET")
     assert answer.status == 200
 
 
-@pytest.mark.parametrize("key", [None, "seat-1"], ids=["ticket", "plain key"])
-def test_booking_runs_once_and_repeats_its_answer(site, key):
+@pytest.mark.parametrize("key", [None, "seat-1"], ids=["ticket", "caller key"])
+def test_booking_runs_once_and_its_response_is_repeated(site, key):
     client = site.client("alpha")
     body = f'{{"seat": "{key}"}}'.encode()
     first = client.call_service("booking", "/confirm", body, key=key)
@@ -58,11 +58,11 @@
     assert b'"run":1' in again.body
 
 
-def test_keyed_stream_can_be_had_again_from_any_index(site):
-    # The caller resumes a stream under a key in its middle, and asks again later for
-    # all of it. The answer that is kept must not begin where the first one resumed.
+def test_stream_with_key_can_be_repeated_from_any_index(site):
+    # The first request under the key resumes its stream at index 4, and a later one
+    # requests the complete stream. The stored response must not begin at index 4.
     node = next(iter(site.nodes.values()))
-    texts = []
+    token_counts = []
     for resume_from in (4, 0, 6):
         reply = site.http_client.call(
             "POST",
@@ -82,8 +82,8 @@
             },
         )
         assert reply.status == 200
-        texts.append(reply.raw.count(b'"token_index"'))
-    assert texts == [4, 8, 2]
+        token_counts.append(reply.raw.count(b'"token_index"'))
+    assert token_counts == [4, 8, 2]
 
 
 def test_deferred_request_is_fetched_by_id_at_any_node(site):
@@ -95,7 +95,7 @@
     assert text == "".join(token_text(PROMPT, index) for index in range(6))
 
 
-def test_request_of_another_team_does_not_exist(site):
+def test_deferred_request_of_another_team_is_not_found(site):
     body = {"model": "small", "prompt": PROMPT, "max_tokens": 1}
     accepted = site.client("beta").defer("/v1/completions", body)
     for node in site.nodes.values():
