--- a/poplarrelay/standins/base.py
+++ b/poplarrelay/standins/base.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: a listener, faults, and a way to run until told."""
+"""Common parts of the stand-ins: faults set by HTTP, health, and a main loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 __all__ = ["StandIn", "refuse", "run_stand_in"]
 
-#: Exit code of a stand-in whose host was reclaimed.
+#: Exit code of a stand-in whose host is reclaimed.
 EXIT_RECLAIMED = 137
 MAX_BODY_BYTES = 64_000_000
 
@@ -26,22 +26,25 @@
 def refuse(
     status: int, slug: str, retry_after_s: float | None = None
 ) -> ProblemResponse:
-    """Return the response to raise for a refusal."""
+    """Return the exception that answers a call with an error status.
+
+    `slug` is the type of the problem and also its text.
+    """
     return ProblemResponse(Problem(status, slug, slug, retry_after_s=retry_after_s))
 
 
 class StandIn(Generic[FaultsT]):
-    """Base of the stand-ins' roots.
+    """Base class of the CherryPy roots of the stand-ins.
 
     Parameters
     ----------
     faults : pydantic.BaseModel
-        The faults to begin with, normally none.
+        Initial faults. The default values of a faults class mean no fault.
 
     Attributes
     ----------
     lock : threading.RLock
-        Guards the stand-in's state.
+        Protects the state of the stand-in.
     """
 
     def __init__(self, faults: FaultsT) -> None:
@@ -50,15 +53,15 @@
 
     @property
     def current_faults(self) -> FaultsT:
-        """Return the faults in force."""
+        """Return the current faults."""
         return self._faults
 
     def faults_changed(self) -> None:
-        """Take notice of new faults."""
+        """React to changed faults; the default does nothing."""
 
     @cherrypy.expose
     def faults(self) -> bytes:
-        """Set all faults, or tell them."""
+        """Replace all faults (PUT) or return them."""
         require_method("GET", "PUT")
         if cherrypy.request.method == "PUT":
             with self.lock:
@@ -68,17 +71,17 @@
 
     @cherrypy.expose
     def exit(self) -> None:
-        """End the process at once, as a reclaim does."""
+        """End the process at once, as the reclaim of its host does."""
         os._exit(EXIT_RECLAIMED)
 
     @cherrypy.expose
     def health(self) -> bytes:
-        """Tell that the stand-in runs."""
+        """Report that the stand-in is running."""
         return answer_json({"status": "ok"})
 
 
 def run_stand_in(host: str, port: int, root: Any, threads: int = 64) -> None:
-    """Serve a stand-in until SIGTERM or SIGINT."""
+    """Serve a stand-in until the process gets SIGTERM or SIGINT."""
     threading.stack_size(512 * 1024)
     limits = ListenerLimits(threads, max_body_bytes=MAX_BODY_BYTES, sender_timeout_s=60)
     listener = Listener(host, port, root, limits)
--- a/poplarrelay/standins/batching.py
+++ b/poplarrelay/standins/batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching and a prefix cache, as a model engine has them."""
+"""Simulation of the continuous batching and prefix cache of a model engine."""
 
 from __future__ import annotations
 
@@ -22,19 +22,20 @@
     "tokenize",
 ]
 
-#: Tokens of a block of the prefix cache.
+#: Tokens in a block of the prefix cache.
 BLOCK_TOKENS = 16
 
 
 def tokenize(prompt: str) -> list[str]:
-    """Return the prompt's tokens: its words."""
+    """Return the tokens of a prompt, which are its words."""
     return prompt.split()
 
 
 def token_text(prompt: str, index: int) -> str:
     """Return the token at an index of the answer to a prompt.
 
-    A pure function, so that any wrong, missing or doubled token shows.
+    The text depends only on the arguments, so a test can detect a wrong, missing or
+    repeated token.
 
     Examples
     --------
@@ -48,12 +49,12 @@
 
 
 class PrefixCache:
-    """Heads of prompts whose computation is kept, the least used ones dropped.
+    """Cache of prompt prefixes in blocks, with least-recently-used eviction.
 
     Parameters
     ----------
     blocks : int
-        Blocks that fit.
+        Capacity in blocks.
 
     Examples
     --------
@@ -68,10 +69,10 @@
 
     def __init__(self, blocks: int) -> None:
         self._blocks = blocks
-        self._kept: OrderedDict[str, None] = OrderedDict()
+        self._cached: OrderedDict[str, None] = OrderedDict()
 
     @staticmethod
-    def _names(namespace: str, tokens: list[str]) -> list[str]:
+    def _block_names(namespace: str, tokens: list[str]) -> list[str]:
         digest = hashlib.blake2b(namespace.encode(), digest_size=12)
         names = []
         for end in range(BLOCK_TOKENS, len(tokens) + 1, BLOCK_TOKENS):
@@ -80,31 +81,31 @@
         return names
 
     def find(self, namespace: str, tokens: list[str]) -> int:
-        """Return how many tokens at the head are kept."""
+        """Return how many tokens at the start of a prompt are cached."""
         found = 0
-        for name in self._names(namespace, tokens):
-            if name not in self._kept:
+        for name in self._block_names(namespace, tokens):
+            if name not in self._cached:
                 break
-            self._kept.move_to_end(name)
+            self._cached.move_to_end(name)
             found += BLOCK_TOKENS
         return found
 
     def add(self, namespace: str, tokens: list[str]) -> list[tuple[str, str]]:
-        """Keep a prompt; return the cache events."""
+        """Cache a prompt; return an event for each added and removed block."""
         events = []
-        for name in self._names(namespace, tokens):
-            if name not in self._kept:
+        for name in self._block_names(namespace, tokens):
+            if name not in self._cached:
                 events.append(("added", name))
-            self._kept[name] = None
-            self._kept.move_to_end(name)
-        while len(self._kept) > self._blocks:
-            name, _ = self._kept.popitem(last=False)
+            self._cached[name] = None
+            self._cached.move_to_end(name)
+        while len(self._cached) > self._blocks:
+            name, _ = self._cached.popitem(last=False)
             events.append(("removed", name))
         return events
 
 
 class SequenceEvent(Enum):
-    """What a sequence's reader is told besides tokens."""
+    """End of a sequence, sent to its reader after the tokens."""
 
     FINISHED = "finished"
     EXPORTED = "exported"
@@ -113,16 +114,20 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """One attempt within the engine.
+    """State of an attempt in the engine.
 
     Attributes
     ----------
     next_index : int
         Index of the next token.
     prefill_left : float
-        Prompt tokens that are still to be computed.
+        Uncached tokens that the engine has still to process.
+    cached_tokens : int
+        Tokens found in the cache, or imported, when the sequence was added.
+    arrival_number : int
+        Order of arrival, for sequences of the same priority.
     events : SimpleQueue
-        Indices of tokens as ints, and at the end a `SequenceEvent`.
+        Indices of the tokens as ints, then a `SequenceEvent`.
     """
 
     attempt: str
@@ -133,14 +138,14 @@
     priority: int
     next_index: int
     prefill_left: float = 0.0
-    cached: int = 0
-    order: int = 0
+    cached_tokens: int = 0
+    arrival_number: int = 0
     events: SimpleQueue[int | SequenceEvent] = field(default_factory=SimpleQueue)
 
 
 @dataclass(frozen=True, slots=True)
 class BatchLimits:
-    """Speed and size of an engine."""
+    """Speed and capacity of an engine."""
 
     slots: int
     step_s: float
@@ -149,52 +154,54 @@
 
 
 class Batch:
-    """Runs sequences together, a step at a time.
+    """Scheduler that runs sequences together, one step at a time.
 
     Parameters
     ----------
     limits : BatchLimits
-        Speed and size.
-    on_cache : callable
-        Is told each cache event.
+        Speed and capacity.
+    on_cache_event : callable
+        Called with the kind (``added`` or ``removed``) and the block of each event.
 
     Notes
     -----
-    A waiting sequence joins as soon as a slot is free, more urgent ones first.
-    Prompt tokens of all that joined share the prefill speed of a step; sequences
-    whose prompt is done get one token a step.
+    A waiting sequence starts when a slot is free, the lowest `priority` number first.
+    All running sequences share the prefill speed of a step. A sequence whose prefill
+    is complete gets one token per step.
     """
 
     def __init__(
-        self, limits: BatchLimits, on_cache: Callable[[str, str], None]
+        self, limits: BatchLimits, on_cache_event: Callable[[str, str], None]
     ) -> None:
         self._limits = limits
-        self._on_cache = on_cache
+        self._on_cache_event = on_cache_event
         self._cache = PrefixCache(limits.cache_blocks)
         self._running: list[Sequence] = []
         self._waiting: list[Sequence] = []
-        self._orders = count()
+        self._arrival_numbers = count()
         self._changed = threading.Condition()
         self.speed = 1.0
 
     def start(self) -> None:
-        """Start to step."""
+        """Start the thread that runs the steps."""
         threading.Thread(target=self._run, name="batch", daemon=True).start()
 
-    def add(self, sequence: Sequence, has_cache: bool) -> None:
-        """Add a sequence; `has_cache` if its computation was imported."""
+    def add(self, sequence: Sequence, cache_imported: bool) -> None:
+        """Queue a sequence; with `cache_imported` it needs no prefill."""
         with self._changed:
-            sequence.order = next(self._orders)
-            sequence.cached = self._cache.find(sequence.namespace, sequence.tokens)
-            if has_cache:
-                sequence.cached = len(sequence.tokens) + sequence.next_index
+            sequence.arrival_number = next(self._arrival_numbers)
+            sequence.cached_tokens = self._cache.find(
+                sequence.namespace, sequence.tokens
+            )
+            if cache_imported:
+                sequence.cached_tokens = len(sequence.tokens) + sequence.next_index
             context = len(sequence.tokens) + sequence.next_index
-            sequence.prefill_left = float(max(0, context - sequence.cached))
+            sequence.prefill_left = float(max(0, context - sequence.cached_tokens))
             self._waiting.append(sequence)
             self._changed.notify()
 
     def remove(self, attempt: str, event: SequenceEvent) -> Sequence | None:
-        """Stop a sequence and tell its reader why."""
+        """Stop a sequence, send `event` to its reader and return the sequence."""
         with self._changed:
             for sequences in (self._running, self._waiting):
                 for sequence in sequences:
@@ -205,10 +212,10 @@
         return None
 
     def counts(self) -> tuple[int, int, int]:
-        """Return running and waiting sequences, and prompt tokens to compute."""
+        """Return the numbers of running and waiting sequences and uncached tokens."""
         with self._changed:
-            everything = [*self._running, *self._waiting]
-            tokens = sum(int(sequence.prefill_left) for sequence in everything)
+            all_sequences = [*self._running, *self._waiting]
+            tokens = sum(int(sequence.prefill_left) for sequence in all_sequences)
             return len(self._running), len(self._waiting), tokens
 
     def _run(self) -> None:
@@ -220,9 +227,9 @@
             time.sleep(self._limits.step_s / self.speed)
 
     def _step(self) -> None:
-        self._waiting.sort(key=lambda s: (s.priority, s.order))
-        free = self._limits.slots - len(self._running)
-        for _ in range(min(free, len(self._waiting))):
+        self._waiting.sort(key=lambda s: (s.priority, s.arrival_number))
+        free_slots = self._limits.slots - len(self._running)
+        for _ in range(min(free_slots, len(self._waiting))):
             self._running.append(self._waiting.pop(0))
         budget = self._limits.prefill_tokens_per_s * self._limits.step_s
         for sequence in list(self._running):
@@ -232,12 +239,12 @@
                 self._decode(sequence)
 
     def _prefill(self, sequence: Sequence, budget: float) -> float:
-        done = min(budget, sequence.prefill_left)
-        sequence.prefill_left -= done
+        computed_tokens = min(budget, sequence.prefill_left)
+        sequence.prefill_left -= computed_tokens
         if sequence.prefill_left <= 0:
             for kind, name in self._cache.add(sequence.namespace, sequence.tokens):
-                self._on_cache(kind, name)
-        return budget - done
+                self._on_cache_event(kind, name)
+        return budget - computed_tokens
 
     def _decode(self, sequence: Sequence) -> None:
         if sequence.next_index < sequence.max_tokens:
--- a/poplarrelay/standins/engine.py
+++ b/poplarrelay/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine."""
+"""Stand-in for a model engine that streams completions."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 __all__ = ["EngineFaults", "EngineStandIn"]
 
-#: Seconds between two comments on a stream that has no token yet.
+#: Seconds without an event after which a stream sends a comment.
 KEEPALIVE_S = 0.5
-#: Exit code of an engine that dies on request.
+#: Exit code of an engine that ends because of a fault.
 EXIT_DIED = 137
 
 
@@ -41,23 +41,24 @@
     Attributes
     ----------
     refuse : bool
-        Answer completions with 503 before anything is done.
+        Answer completions with 503 without running them.
     die_after_tokens : int or None
-        End the process after so many tokens of one stream.
+        Number of tokens of one stream after which the process ends.
     die_before_end : bool
-        End the process between the last token and the end.
+        End the process between the last token and the end event.
     cut_before_end : bool
-        Close the stream between the last token and the end.
+        Close the stream between the last token and the end event.
     skip_index, repeat_index, foreign_index : int or None
-        Leave out a token, send one twice, or send another attempt's event.
+        Index of a token that is omitted, is sent twice, or follows an event that
+        names another attempt.
     stall_after_tokens : int or None
-        Send nothing more after so many tokens.
+        Number of tokens after which a stream stays open but sends nothing.
     refuse_exports : bool
         Refuse to export KV caches.
     die_on_export : bool
-        End the process when another engine reads an exported cache.
+        End the process when another engine reads an exported KV cache.
     speed : float
-        Factor on the engine's speed.
+        Factor that multiplies the steps per second.
     """
 
     refuse: bool = False
@@ -74,7 +75,7 @@
 
 
 class CacheSourceBody(BaseModel):
-    """Where an exported KV cache is."""
+    """Engine address and name of an exported KV cache."""
 
     address: str
     export: str
@@ -94,13 +95,13 @@
 
 
 class AttemptBody(BaseModel):
-    """Names an attempt."""
+    """Body of a call that refers to an attempt."""
 
     attempt: str
 
 
 class OrderBody(BaseModel):
-    """An order to load models or to change role, as an absolute target."""
+    """Order that sets the loaded models and the role, given in full."""
 
     fencing: int
     holder: str
@@ -109,32 +110,32 @@
 
 
 class NoticeBody(BaseModel):
-    """The engine is told that it goes."""
+    """Notice that the engine leaves in `remaining_s`; None cancels the notice."""
 
     remaining_s: float | None
 
 
 class _V1:
-    """``/v1``."""
+    """Handlers of the paths below ``/v1``."""
 
 
 class EngineStandIn(StandIn[EngineFaults]):
-    """A model engine without a model.
+    """Engine that computes its tokens by a hash instead of a model.
 
     Parameters
     ----------
     endpoint : str
-        Its name.
+        Name of the engine in its load reports.
     models : list of str
-        Models that are loaded.
+        Models loaded at the start.
     limits : BatchLimits
-        Speed and size.
+        Speed and capacity.
     checks_fencing : bool
-        Whether orders with an old fencing number are refused.
+        Whether orders with a fencing token below the highest one are refused.
     report_lag_s : float
-        Age of the load that is reported.
+        Age in seconds of the load in a report.
     kv_tokens_per_s : float
-        Speed at which a KV cache is read by another engine.
+        Tokens per second at which another engine reads a KV cache.
     """
 
     def __init__(
@@ -153,12 +154,12 @@
         self._checks_fencing = checks_fencing
         self._report_lag_s = report_lag_s
         self._kv_tokens_per_s = kv_tokens_per_s
-        self._batch = Batch(limits, self._note_cache)
+        self._batch = Batch(limits, self._record_cache_event)
         self._batch.start()
-        self._reports: deque[tuple[float, tuple[int, int, int]]] = deque()
+        self._load_samples: deque[tuple[float, tuple[int, int, int]]] = deque()
         self._cache_events: list[dict[str, Any]] = []
         self._exports: dict[str, int] = {}
-        self._orders: list[dict[str, Any]] = []
+        self._accepted_orders: list[dict[str, Any]] = []
         self._fencing = -1
         self._role = "serve"
         self._leaving_at: float | None = None
@@ -168,36 +169,36 @@
         self.v1.completions = self.completions  # type: ignore[attr-defined]
         self.v1.cancel = self.cancel  # type: ignore[attr-defined]
         self.kv = _Kv(self)
-        threading.Thread(target=self._measure, daemon=True).start()
+        threading.Thread(target=self._sample_load, daemon=True).start()
 
     def faults_changed(self) -> None:
-        """Take over the speed."""
+        """Set the speed of the batch."""
         self._batch.speed = self.current_faults.speed
 
     # -- load, cache events, notices ---------------------------------------
 
-    def _measure(self) -> None:
+    def _sample_load(self) -> None:
         while True:
-            self._reports.append((time.monotonic(), self._batch.counts()))
-            if len(self._reports) > 200:
-                self._reports.popleft()
+            self._load_samples.append((time.monotonic(), self._batch.counts()))
+            if len(self._load_samples) > 200:
+                self._load_samples.popleft()
             time.sleep(0.05)
 
-    def _lagging_counts(self) -> tuple[int, int, int]:
-        limit = time.monotonic() - self._report_lag_s
-        told = (0, 0, 0)
-        for at, counts in list(self._reports):
-            if at > limit:
+    def _delayed_counts(self) -> tuple[int, int, int]:
+        cutoff = time.monotonic() - self._report_lag_s
+        latest = (0, 0, 0)
+        for at, counts in list(self._load_samples):
+            if at > cutoff:
                 break
-            told = counts
-        return told
+            latest = counts
+        return latest
 
     @cherrypy.expose
     def load(self) -> bytes:
-        """Report the load as it was a moment ago."""
-        running, queued, tokens = self._lagging_counts()
+        """Return the load as it was `report_lag_s` seconds ago."""
+        running, queued, tokens = self._delayed_counts()
         leaving = self._leaving_at
-        left = None if leaving is None else max(0.0, leaving - time.monotonic())
+        leaving_s = None if leaving is None else max(0.0, leaving - time.monotonic())
         return answer_json(
             {
                 "endpoint": self._endpoint,
@@ -209,28 +210,28 @@
                 "step_s": self._limits.step_s,
                 "models": self._models,
                 "role": self._role,
-                "leaving_s": left,
+                "leaving_s": leaving_s,
             }
         )
 
-    def _note_cache(self, kind: str, name: str) -> None:
+    def _record_cache_event(self, kind: str, name: str) -> None:
         self._cache_events.append({"at": time.monotonic(), "kind": kind, "block": name})
 
     @cherrypy.expose
     def cache_events(self, **query: str) -> bytes:
-        """Tell cache events, a second late, every tenth one lost."""
+        """Return the cache events that are a second old, without every tenth one."""
         start = int(query.get("from", 0))
-        limit = time.monotonic() - 1.0
-        told = [
+        cutoff = time.monotonic() - 1.0
+        visible = [
             {"number": number, "kind": event["kind"], "block": event["block"]}
             for number, event in enumerate(self._cache_events[start:], start)
-            if event["at"] <= limit and number % 10 != 9
+            if event["at"] <= cutoff and number % 10 != 9
         ]
-        return answer_json({"events": told})
+        return answer_json({"events": visible})
 
     @cherrypy.expose
     def notice(self) -> bytes:
-        """Take notice that this engine goes."""
+        """Accept or cancel a notice that this engine leaves."""
         remaining = read_json(NoticeBody, MAX_BODY_BYTES).remaining_s
         now = time.monotonic()
         self._leaving_at = None if remaining is None else now + remaining
@@ -238,25 +239,29 @@
 
     @cherrypy.expose
     def statistics(self) -> bytes:
-        """Tell how many tokens were computed."""
+        """Return counts of attempts, prefilled and cached tokens and answer tokens."""
         return answer_json(self._totals)
 
     # -- orders ------------------------------------------------------------
 
     @cherrypy.expose
     def orders(self) -> bytes:
-        """Take an order, or tell the state and all orders taken."""
+        """Accept an order (POST), or return the state and all accepted orders."""
         require_method("GET", "POST")
         if cherrypy.request.method == "GET":
             return answer_json(
-                {"models": self._models, "role": self._role, "orders": self._orders}
+                {
+                    "models": self._models,
+                    "role": self._role,
+                    "orders": self._accepted_orders,
+                }
             )
         order = read_json(OrderBody, MAX_BODY_BYTES)
         with self.lock:
             if self._checks_fencing and order.fencing < self._fencing:
                 raise refuse(409, "fencing-number-old")
             self._fencing = max(self._fencing, order.fencing)
-            self._orders.append(order.model_dump())
+            self._accepted_orders.append(order.model_dump())
             self._models, self._role = order.models, order.role
         return answer_json({"models": self._models, "role": self._role})
 
@@ -264,7 +269,7 @@
 
     @cherrypy.expose
     def cancel(self) -> bytes:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         attempt = read_json(AttemptBody, MAX_BODY_BYTES).attempt
         found = self._batch.remove(attempt, SequenceEvent.CANCELLED)
         return answer_json({"cancelled": found is not None})
@@ -286,15 +291,15 @@
             priority=body.priority,
             next_index=body.resume_from,
         )
-        imported = self._import(body.cache_source)
+        imported = self._import_cache(body.cache_source)
         self._batch.add(sequence, imported)
         self._totals["attempts"] += 1
         response = cherrypy.response
         response.headers["Content-Type"] = "text/event-stream"
         response.stream = True
-        return self._events(sequence)
+        return self._stream_events(sequence)
 
-    def _import(self, source: CacheSourceBody | None) -> bool:
+    def _import_cache(self, source: CacheSourceBody | None) -> bool:
         if source is None:
             return False
         try:
@@ -305,7 +310,7 @@
             return False
         return reply.ok
 
-    def _events(self, sequence: Sequence) -> Iterator[bytes]:
+    def _stream_events(self, sequence: Sequence) -> Iterator[bytes]:
         faults = self.current_faults
         sent = 0
         try:
@@ -316,24 +321,24 @@
                     yield b": waiting\n\n"
                     continue
                 if isinstance(event, SequenceEvent):
-                    yield from self._last(sequence, event, faults)
+                    yield from self._end_events(sequence, event, faults)
                     return
-                yield from self._token(sequence, event, faults)
+                yield from self._token_events(sequence, event, faults)
                 sent += 1
                 self._totals["answer"] += 1
-                self._disturb(sent, faults)
+                self._apply_stream_faults(sent, faults)
         finally:
             self._batch.remove(sequence.attempt, SequenceEvent.CANCELLED)
 
     @staticmethod
-    def _disturb(sent: int, faults: EngineFaults) -> None:
+    def _apply_stream_faults(sent: int, faults: EngineFaults) -> None:
         if faults.die_after_tokens is not None and sent >= faults.die_after_tokens:
             os._exit(EXIT_DIED)
         if faults.stall_after_tokens is not None and sent >= faults.stall_after_tokens:
             time.sleep(3600)
 
     @staticmethod
-    def _event(sequence: Sequence, index: int, attempt: str) -> bytes:
+    def _encode_token(sequence: Sequence, index: int, attempt: str) -> bytes:
         document = {
             "attempt": attempt,
             "index": index,
@@ -341,50 +346,52 @@
         }
         return b"data: " + orjson.dumps(document) + b"\n\n"
 
-    def _token(
+    def _token_events(
         self, sequence: Sequence, index: int, faults: EngineFaults
     ) -> Iterator[bytes]:
         if index == faults.foreign_index:
-            yield self._event(sequence, index, "another/attempt")
+            yield self._encode_token(sequence, index, "another/attempt")
         if index == faults.skip_index:
             return
-        yield self._event(sequence, index, sequence.attempt)
+        yield self._encode_token(sequence, index, sequence.attempt)
         if index == faults.repeat_index:
-            yield self._event(sequence, index, sequence.attempt)
+            yield self._encode_token(sequence, index, sequence.attempt)
 
-    def _last(
+    def _end_events(
         self, sequence: Sequence, event: SequenceEvent, faults: EngineFaults
     ) -> Iterator[bytes]:
         if faults.die_before_end:
             os._exit(EXIT_DIED)
         if faults.cut_before_end or event is SequenceEvent.CANCELLED:
             return
-        computed = len(sequence.tokens) - min(sequence.cached, len(sequence.tokens))
-        self._totals["prompt"] += computed
-        self._totals["cached"] += sequence.cached
+        uncached_tokens = len(sequence.tokens) - min(
+            sequence.cached_tokens, len(sequence.tokens)
+        )
+        self._totals["prompt"] += uncached_tokens
+        self._totals["cached"] += sequence.cached_tokens
         document: dict[str, Any] = {
             "attempt": sequence.attempt,
             "finish": "stop",
             "count": sequence.next_index,
             "usage": {
                 "prompt_tokens": len(sequence.tokens),
-                "cached_tokens": sequence.cached,
+                "cached_tokens": sequence.cached_tokens,
             },
         }
         if event is SequenceEvent.EXPORTED:
             document["finish"] = "exported"
-            document["export"] = self.keep_export(sequence)
+            document["export"] = self.store_export(sequence)
         yield b"data: " + orjson.dumps(document) + b"\n\ndata: [DONE]\n\n"
 
     # -- KV cache ----------------------------------------------------------
 
-    def keep_export(self, sequence: Sequence) -> str:
-        """Keep a sequence's KV cache for another engine."""
+    def store_export(self, sequence: Sequence) -> str:
+        """Store the KV cache of a sequence for another engine; return its name."""
         name = secrets.token_hex(8)
         self._exports[name] = len(sequence.tokens) + sequence.next_index
         return name
 
-    def export(self, attempt: str) -> None:
+    def export_cache(self, attempt: str) -> None:
         """Stop an attempt and export its KV cache."""
         if self.current_faults.refuse_exports:
             raise refuse(409, "no-export")
@@ -392,7 +399,7 @@
             raise refuse(404, "no-such-attempt")
 
     def read_export(self, name: str) -> bytes:
-        """Give an exported KV cache to another engine."""
+        """Send an exported KV cache to another engine, once."""
         if self.current_faults.die_on_export:
             os._exit(EXIT_DIED)
         tokens = self._exports.pop(name, None)
@@ -403,17 +410,17 @@
 
 
 class _Kv:
-    """``/kv``."""
+    """Handlers of the paths below ``/kv``."""
 
     def __init__(self, engine: EngineStandIn) -> None:
         self._engine = engine
 
     @cherrypy.expose
     def default(self, name: str) -> bytes:
-        """Export an attempt's cache, or read an exported one."""
+        """Export the KV cache of an attempt, or read an exported one."""
         if name == "export":
             require_method("POST")
             attempt = read_json(AttemptBody, MAX_BODY_BYTES).attempt
-            self._engine.export(attempt)
+            self._engine.export_cache(attempt)
             return answer_json({"status": "exporting"})
         return self._engine.read_export(name)
--- a/poplarrelay/standins/log.py
+++ b/poplarrelay/standins/log.py
@@ -1,4 +1,4 @@
-"""Stand-in for the log service."""
+"""Stand-in for the log service: append-only streams of records."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 __all__ = ["LogFaults", "LogStandIn"]
 
-#: Longest wait of a read, in seconds.
+#: Longest time that a read waits for new records, in seconds.
 MAX_WAIT_S = 30.0
 
 
 class LogFaults(BaseModel):
-    """Faults of the log.
+    """Faults of the log service.
 
     Attributes
     ----------
     refuse : bool
         Answer every call with 503.
     hang_s : float
-        Keep every call waiting before it is looked at.
+        Seconds by which every call is delayed before it is processed.
     lose_answers : int
-        Take so many appends and then keep their answers back for `lost_s`.
+        Number of appends that are stored but answered only after `lost_s` seconds.
     slow_s : float
-        Seconds that every append takes.
+        Extra seconds that every append takes.
     clock_skew_s : float
-        Seconds that the log's clock is ahead.
+        Seconds by which the clock of the log is ahead.
     """
 
     refuse: bool = False
@@ -45,20 +45,20 @@
 
 
 class AppendBody(BaseModel):
-    """Records to append."""
+    """Body of an append: the records in order."""
 
     records: list[dict[str, Any]] = Field(min_length=1, max_length=1000)
 
 
 class _Stream:
     def __init__(self) -> None:
-        self.oldest = 0
+        self.oldest_offset = 0
         self.records: deque[tuple[float, dict[str, Any]]] = deque()
-        self.changed = threading.Condition()
+        self.appended = threading.Condition()
 
     @property
-    def next(self) -> int:
-        return self.oldest + len(self.records)
+    def next_offset(self) -> int:
+        return self.oldest_offset + len(self.records)
 
 
 class LogStandIn(StandIn[LogFaults]):
@@ -67,17 +67,17 @@
     Parameters
     ----------
     retention_s : float
-        Seconds for which records are kept.
+        Seconds after which a record is removed.
     appends_per_s : float
-        Appends (of any number of records) taken in a second.
+        Appends accepted per second. An append of many records counts once.
     """
 
     def __init__(self, retention_s: float, appends_per_s: float) -> None:
         super().__init__(LogFaults())
         self._retention_s = retention_s
         self._appends_per_s = appends_per_s
-        self._budget = appends_per_s
-        self._filled_at = time.monotonic()
+        self._available_appends = appends_per_s
+        self._refilled_at = time.monotonic()
         self._streams: dict[str, _Stream] = {}
         self._appends = 0
 
@@ -85,22 +85,24 @@
         with self.lock:
             return self._streams.setdefault(name, _Stream())
 
-    def _disturb(self) -> None:
+    def _apply_faults(self) -> None:
         faults = self.current_faults
         if faults.hang_s:
             time.sleep(faults.hang_s)
         if faults.refuse:
             raise refuse(503, "outage")
 
-    def _take_budget(self) -> None:
+    def _limit_rate(self) -> None:
         with self.lock:
             now = time.monotonic()
-            refill = (now - self._filled_at) * self._appends_per_s
-            self._budget = min(self._appends_per_s, self._budget + refill)
-            self._filled_at = now
-            if self._budget < 1.0:
+            refill = (now - self._refilled_at) * self._appends_per_s
+            self._available_appends = min(
+                self._appends_per_s, self._available_appends + refill
+            )
+            self._refilled_at = now
+            if self._available_appends < 1.0:
                 raise refuse(429, "rate-limit", 1.0 / self._appends_per_s)
-            self._budget -= 1.0
+            self._available_appends -= 1.0
             self._appends += 1
 
     def _time(self) -> float:
@@ -108,28 +110,28 @@
 
     @cherrypy.expose
     def streams(self, stream: str, _records: str, **query: str) -> bytes:
-        """Read from a stream or append to it."""
+        """Append to a stream (POST) or read from it."""
         require_method("GET", "POST")
-        self._disturb()
+        self._apply_faults()
         if cherrypy.request.method == "POST":
             return self._append(self._stream(stream))
         return self._read(self._stream(stream), query)
 
     def _append(self, stream: _Stream) -> bytes:
         body = read_json(AppendBody, MAX_BODY_BYTES)
-        self._take_budget()
+        self._limit_rate()
         if self.current_faults.slow_s:
             time.sleep(self.current_faults.slow_s)
-        with stream.changed:
-            offset = stream.next
+        with stream.appended:
+            offset = stream.next_offset
             now = self._time()
             stream.records.extend((now, value) for value in body.records)
-            stream.changed.notify_all()
-        if self._loses_answer():
+            stream.appended.notify_all()
+        if self._consume_lost_answer():
             time.sleep(self.current_faults.lost_s)
         return answer_json({"offset": offset})
 
-    def _loses_answer(self) -> bool:
+    def _consume_lost_answer(self) -> bool:
         with self.lock:
             if self.current_faults.lose_answers <= 0:
                 return False
@@ -137,38 +139,40 @@
             return True
 
     def _trim(self, stream: _Stream) -> None:
-        limit = self._time() - self._retention_s
-        while stream.records and stream.records[0][0] < limit:
+        cutoff = self._time() - self._retention_s
+        while stream.records and stream.records[0][0] < cutoff:
             stream.records.popleft()
-            stream.oldest += 1
+            stream.oldest_offset += 1
 
     def _read(self, stream: _Stream, query: dict[str, str]) -> bytes:
         start = int(query.get("from", 0))
         wait_s = min(MAX_WAIT_S, int(query.get("wait_ms", 0)) / 1000)
         limit = int(query.get("limit", 500))
-        with stream.changed:
-            stream.changed.wait_for(lambda: stream.next > start, timeout=wait_s)
+        with stream.appended:
+            stream.appended.wait_for(lambda: stream.next_offset > start, timeout=wait_s)
             self._trim(stream)
-            first = max(start, stream.oldest)
-            skip = first - stream.oldest
-            kept = list(stream.records)[skip : skip + limit]
-            oldest, following = stream.oldest, stream.next
-        self._disturb()
+            first = max(start, stream.oldest_offset)
+            skip = first - stream.oldest_offset
+            selected = list(stream.records)[skip : skip + limit]
+            oldest_offset, next_offset = stream.oldest_offset, stream.next_offset
+        self._apply_faults()
         return answer_json(
             {
-                "oldest": oldest,
-                "next": following,
+                "oldest": oldest_offset,
+                "next": next_offset,
                 "time": self._time(),
                 "records": [
                     {"offset": first + index, "time": at, "value": value}
-                    for index, (at, value) in enumerate(kept)
+                    for index, (at, value) in enumerate(selected)
                 ],
             }
         )
 
     @cherrypy.expose
     def statistics(self) -> bytes:
-        """Tell how much was appended."""
+        """Return the number of appends, and of records by stream."""
         with self.lock:
-            lengths = {name: stream.next for name, stream in self._streams.items()}
+            lengths = {
+                name: stream.next_offset for name, stream in self._streams.items()
+            }
             return answer_json({"appends": self._appends, "records": lengths})
--- a/poplarrelay/standins/platform.py
+++ b/poplarrelay/standins/platform.py
@@ -27,7 +27,7 @@
     Attributes
     ----------
     stale : bool
-        Go on telling what was true when this was set.
+        Keep returning the list as it was when this fault was set.
     """
 
     refuse: bool = False
@@ -35,51 +35,57 @@
 
 
 class HostListStandIn(StandIn[HostListFaults]):
-    """The list of endpoints, told with a lag.
+    """List of endpoints in which changes appear after a delay.
 
     Parameters
     ----------
     hosts : list of dict
-        Endpoints, as ``GET /hosts`` tells them.
+        Initial endpoints, in the form that ``GET /hosts`` returns.
     lag_s : float
-        Seconds until a change is told.
+        Seconds until a change appears in the list.
     """
 
     def __init__(self, hosts: list[dict[str, Any]], lag_s: float) -> None:
         super().__init__(HostListFaults())
         self._lag_s = lag_s
         self._history: list[tuple[float, list[dict[str, Any]]]] = [(0.0, hosts)]
-        self._frozen: list[dict[str, Any]] | None = None
+        self._stale_hosts: list[dict[str, Any]] | None = None
 
-    def _told(self) -> list[dict[str, Any]]:
-        limit = time.monotonic() - self._lag_s
-        while len(self._history) > 1 and self._history[1][0] <= limit:
+    def _visible_hosts(self) -> list[dict[str, Any]]:
+        cutoff = time.monotonic() - self._lag_s
+        while len(self._history) > 1 and self._history[1][0] <= cutoff:
             self._history.pop(0)
         return self._history[0][1]
 
     def faults_changed(self) -> None:
-        """Keep or drop the list that is told while it is stale."""
+        """Save the current list while `stale` is set, else discard the saved one."""
         with self.lock:
-            self._frozen = self._told() if self.current_faults.stale else None
+            self._stale_hosts = (
+                self._visible_hosts() if self.current_faults.stale else None
+            )
 
     @cherrypy.expose
     def hosts(self, endpoint: str | None = None) -> bytes:
-        """Tell all endpoints, or set or remove one."""
+        """Return all endpoints, or set (PUT) or remove (DELETE) one."""
         require_method("GET", "PUT", "DELETE")
         with self.lock:
             if cherrypy.request.method == "GET":
                 if self.current_faults.refuse:
                     raise refuse(503, "outage")
-                return self._answer({"hosts": self._frozen or self._told()})
-            newest = [h for h in self._history[-1][1] if h["endpoint"] != endpoint]
+                return self._answer_if_changed(
+                    {"hosts": self._stale_hosts or self._visible_hosts()}
+                )
+            latest_hosts = [
+                h for h in self._history[-1][1] if h["endpoint"] != endpoint
+            ]
             if cherrypy.request.method == "PUT":
-                newest.append(read_json(_Host, MAX_BODY_BYTES).model_dump())
-            self._history.append((time.monotonic(), newest))
+                latest_hosts.append(read_json(_Host, MAX_BODY_BYTES).model_dump())
+            self._history.append((time.monotonic(), latest_hosts))
         return answer_json({"status": "ok"})
 
     @staticmethod
-    def _answer(value: Any) -> bytes:
-        """Answer with a tag, or that nothing has changed."""
+    def _answer_if_changed(value: Any) -> bytes:
+        """Return the body with its ETag, or 304 if the caller has this version."""
         body = answer_json(value)
         tag = f'"{hashlib.blake2b(body, digest_size=8).hexdigest()}"'
         cherrypy.response.headers["ETag"] = tag
@@ -90,14 +96,14 @@
 
     @cherrypy.expose
     def prices(self, endpoint: str) -> bytes:
-        """Change the price of an endpoint's host."""
+        """Set the price of an endpoint's host."""
         price = read_json(_Price, MAX_BODY_BYTES).price
         with self.lock:
-            newest = [
+            latest_hosts = [
                 {**h, "price": price} if h["endpoint"] == endpoint else h
                 for h in self._history[-1][1]
             ]
-            self._history.append((time.monotonic(), newest))
+            self._history.append((time.monotonic(), latest_hosts))
         return answer_json({"status": "ok"})
 
 
@@ -123,9 +129,9 @@
     Attributes
     ----------
     refuse_starts : bool
-        Refuse to start hosts.
+        Answer starts of hosts with 503.
     lose_answers : int
-        Start so many hosts and then keep the answers back.
+        Number of starts that are carried out but answered only after `lost_s` seconds.
     """
 
     refuse: bool = False
@@ -135,7 +141,7 @@
 
 
 class NoticeBody(BaseModel):
-    """A notice: an endpoint or a whole failure domain goes."""
+    """Notice that an endpoint or a failure domain is reclaimed in `remaining_s`."""
 
     remaining_s: float
     endpoint: str | None = None
@@ -143,7 +149,7 @@
 
 
 class StartBody(BaseModel):
-    """Start a host; `token` makes the call idempotent."""
+    """Request to start a host; `token` makes the call idempotent."""
 
     token: str
     model: str
@@ -152,14 +158,14 @@
 
 
 class StopBody(BaseModel):
-    """Stop a host after a grace."""
+    """Request to stop a host after `grace_s` seconds."""
 
     token: str
     grace_s: float
 
 
 class CloudStandIn(StandIn[CloudFaults]):
-    """Notices of reclaims, and starts of hosts."""
+    """Cloud API with reclaim notices and with starts and stops of hosts."""
 
     def __init__(self) -> None:
         super().__init__(CloudFaults())
@@ -170,7 +176,7 @@
 
     @cherrypy.expose
     def notices(self, **query: str) -> bytes:
-        """Send a notice, or tell those from a number on."""
+        """Add a notice (POST), or return the notices from a number on."""
         require_method("GET", "POST")
         if self.current_faults.refuse:
             raise refuse(503, "outage")
@@ -180,23 +186,29 @@
                 self._notices.append((time.monotonic(), notice))
                 self._changed.notify_all()
             return answer_json({"status": "sent"}, status=202)
-        return self._tell(int(query.get("from", 0)), int(query.get("wait_ms", 0)))
+        return self._read_notices(
+            int(query.get("from", 0)), int(query.get("wait_ms", 0))
+        )
 
-    def _tell(self, start: int, wait_ms: int) -> bytes:
+    def _read_notices(self, start: int, wait_ms: int) -> bytes:
         with self._changed:
             self._changed.wait_for(
                 lambda: len(self._notices) > start, timeout=min(30.0, wait_ms / 1000)
             )
             now = time.monotonic()
-            told = [
+            notices = [
                 {**n.model_dump(), "remaining_s": max(0.0, n.remaining_s - (now - at))}
                 for at, n in self._notices[start:]
             ]
-            following = len(self._notices)
-        return answer_json({"next": following, "notices": told})
+            next_number = len(self._notices)
+        return answer_json({"next": next_number, "notices": notices})
+
+    def _current_hosts(self) -> list[dict[str, Any]]:
+        """Update the states of all hosts and return those that exist.
 
-    def _started(self) -> list[dict[str, Any]]:
-        """Return all hosts; one has started after a moment and goes after its grace."""
+        A host is running `START_S` seconds after its start, and is removed when its
+        grace time is over.
+        """
         now = time.monotonic()
         for token, host in list(self._starts.items()):
             if host["stops_at"] is not None and now >= host["stops_at"]:
@@ -210,11 +222,13 @@
 
     @cherrypy.expose
     def starts(self) -> bytes:
-        """Start a host, or tell those that were started."""
+        """Start a host (POST), or return the started hosts."""
         require_method("GET", "POST")
         if cherrypy.request.method == "GET":
             with self.lock:
-                return answer_json({"starts": self._started(), "calls": self._calls})
+                return answer_json(
+                    {"starts": self._current_hosts(), "calls": self._calls}
+                )
         body = read_json(StartBody, MAX_BODY_BYTES)
         with self.lock:
             self._calls += 1
@@ -223,15 +237,15 @@
             ready_at = time.monotonic() + START_S
             host = {"state": "starting", "ready_at": ready_at, "stops_at": None}
             self._starts.setdefault(body.token, {**body.model_dump(), **host})
-            lost = self.current_faults.lose_answers > 0
-            self.current_faults.lose_answers -= lost
-        if lost:
+            answer_lost = self.current_faults.lose_answers > 0
+            self.current_faults.lose_answers -= answer_lost
+        if answer_lost:
             time.sleep(self.current_faults.lost_s)
         return answer_json({"token": body.token}, status=201)
 
     @cherrypy.expose
     def stops(self) -> bytes:
-        """Stop a host after a grace."""
+        """Stop a host after its grace time."""
         body = read_json(StopBody, MAX_BODY_BYTES)
         with self.lock:
             host = self._starts.get(body.token)
@@ -248,12 +262,12 @@
 
 
 class WeightStoreStandIn(StandIn[WeightFaults]):
-    """A store of model weights that serves a few loads at once.
+    """Store of model weights that limits the rate of loads.
 
     Parameters
     ----------
     loads_per_s : float
-        Loads begun in a second.
+        Loads that can start per second.
     """
 
     def __init__(self, loads_per_s: float) -> None:
@@ -263,7 +277,7 @@
 
     @cherrypy.expose
     def weights(self, model: str) -> bytes:
-        """Begin to load a model."""
+        """Start to load a model."""
         if self.current_faults.refuse:
             raise refuse(503, "outage")
         with self.lock:
--- a/poplarrelay/standins/service.py
+++ b/poplarrelay/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service, such as a booking desk."""
+"""Stand-in for a service that is not a model engine, such as a booking desk."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 __all__ = ["ServiceFaults", "ServiceStandIn"]
 
-#: Exit code of a service that dies on request.
+#: Exit code of a service that ends because of a fault.
 EXIT_DIED = 137
 
 
@@ -25,13 +25,13 @@
     Attributes
     ----------
     refuse : bool
-        Answer 429 before anything is done.
+        Answer 429 without running the call.
     slow_s : float
-        Seconds that a call takes.
+        Extra seconds that a call takes.
     lose_answers : int
-        Run so many calls and then keep their answers back for `lost_s`.
+        Number of calls that run but are answered only after `lost_s` seconds.
     die_after_run : bool
-        Run a call and end the process before it is answered.
+        End the process after a call has run and before it is answered.
     """
 
     refuse: bool = False
@@ -42,27 +42,27 @@
 
 
 class NoticeBody(BaseModel):
-    """The service is told that it goes."""
+    """Notice that the service leaves in `remaining_s`; None cancels the notice."""
 
     remaining_s: float | None
 
 
 class ServiceStandIn(StandIn[ServiceFaults]):
-    """Runs calls and counts how often each ran.
+    """A service that runs calls and counts the runs of each.
 
     Parameters
     ----------
     endpoint : str
-        Its name.
+        Name of the service in its load reports.
     slots : int
-        Calls that run at once.
+        Number of calls that can run at the same time.
     call_s : float
         Seconds that a call takes.
 
     Notes
     -----
-    A call is known by its method, path and body, so a test that gives each booking
-    a body of its own sees a doubled one.
+    A call is identified by its method, path and body. A test that gives each booking
+    a different body can detect a booking that ran twice.
     """
 
     def __init__(self, endpoint: str, slots: int, call_s: float) -> None:
@@ -71,15 +71,15 @@
         self._slots = slots
         self._call_s = call_s
         self._running = 0
-        self._free = threading.Semaphore(slots)
+        self._free_slots = threading.Semaphore(slots)
         self._runs: dict[str, int] = {}
         self._leaving_at: float | None = None
 
     @cherrypy.expose
     def load(self) -> bytes:
-        """Report the load."""
+        """Return the load."""
         leaving = self._leaving_at
-        left = None if leaving is None else max(0.0, leaving - time.monotonic())
+        leaving_s = None if leaving is None else max(0.0, leaving - time.monotonic())
         return answer_json(
             {
                 "endpoint": self._endpoint,
@@ -89,13 +89,13 @@
                 "queued_tokens": 0,
                 "prefill_tokens_per_s": 1.0,
                 "step_s": self._call_s,
-                "leaving_s": left,
+                "leaving_s": leaving_s,
             }
         )
 
     @cherrypy.expose
     def notice(self) -> bytes:
-        """Take notice that this service goes."""
+        """Accept or cancel a notice that this service leaves."""
         remaining = read_json(NoticeBody, MAX_BODY_BYTES).remaining_s
         now = time.monotonic()
         self._leaving_at = None if remaining is None else now + remaining
@@ -103,13 +103,13 @@
 
     @cherrypy.expose
     def runs(self) -> bytes:
-        """Tell how often each call ran."""
+        """Return the number of runs by call."""
         with self.lock:
             return answer_json({"runs": self._runs})
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
-        """Run a call."""
+        """Run a call; serves every path that has no other handler."""
         faults = self.current_faults
         if faults.refuse:
             raise refuse(429, "busy", 0.5)
@@ -119,24 +119,24 @@
         with self.lock:
             self._running += 1
         try:
-            with self._free:
-                number = self._run(name)
+            with self._free_slots:
+                run_number = self._count_run(name)
                 time.sleep(self._call_s + faults.slow_s)
         finally:
             with self.lock:
                 self._running -= 1
         if faults.die_after_run:
             os._exit(EXIT_DIED)
-        if self._loses_answer():
+        if self._consume_lost_answer():
             time.sleep(faults.lost_s)
-        return answer_json({"confirmed": name, "run": number})
+        return answer_json({"confirmed": name, "run": run_number})
 
-    def _run(self, name: str) -> int:
+    def _count_run(self, name: str) -> int:
         with self.lock:
             self._runs[name] = self._runs.get(name, 0) + 1
             return self._runs[name]
 
-    def _loses_answer(self) -> bool:
+    def _consume_lost_answer(self) -> bool:
         with self.lock:
             if self.current_faults.lose_answers <= 0:
                 return False
@@ -145,6 +145,6 @@
 
 
 def call_name(method: str, path: str, body: bytes) -> str:
-    """Return the name under which a call's runs are counted."""
+    """Return the name under which the runs of a call are counted."""
     digest = hashlib.blake2b(body, digest_size=8).hexdigest()
     return f"{method} {path} {digest}"
--- a/poplarrelay/standins/users/cloud.py
+++ b/poplarrelay/standins/users/cloud.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's API: usage reports and orders, with fences."""
+"""Stand-in of the platform API: usage reports and scaling orders, with fencing."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedCall:
-    """A call that was carried out.
+    """Call that the API carried out.
 
     Attributes
     ----------
     subject : str
-        What the fences are counted by.
+        ``usage``, or the service and zone of an order. Fencing tokens are compared
+        within a subject.
     """
 
     at: float
@@ -33,28 +34,28 @@
 
 
 class CloudStandIn:
-    """The platform's API.
+    """Platform API that records the calls it carries out.
 
     Attributes
     ----------
     accepted : list of AcceptedCall
-        In the order in which they were carried out.
-    sold_out : set of str
-        Failure domains without reclaimable endpoints.
+        Calls in the order in which they were carried out.
+    exhausted_domains : set of str
+        Failure domains in which orders for reclaimable endpoints are refused.
     lose_answers : bool
-        Whether calls are carried out and not answered.
+        Whether calls are carried out but not answered.
     """
 
     def __init__(self, host: str) -> None:
         self._host = host
         self._listener = Listener(host, 0, self._handle)
-        self._fences: dict[str, int] = {}
+        self._highest_tokens: dict[str, int] = {}
         self.accepted: list[AcceptedCall] = []
-        self.sold_out: set[str] = set()
+        self.exhausted_domains: set[str] = set()
         self.lose_answers = False
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         await self._listener.start()
 
     def stop(self) -> None:
@@ -68,18 +69,18 @@
         """Return ``host:port``."""
         return f"{self._host}:{self._listener.port}"
 
-    def fence(self, subject: str, token: int) -> None:
-        """Note a token that another holder has used."""
-        self._fences[subject] = token
+    def record_token(self, subject: str, token: int) -> None:
+        """Record a fencing token as used by another holder."""
+        self._highest_tokens[subject] = token
 
     def windows(self) -> dict[int, list[dict[str, int]]]:
-        """Return the counts that were accepted, by window."""
-        found: dict[int, list[dict[str, int]]] = {}
+        """Return the accepted usage counts by window."""
+        counts: dict[int, list[dict[str, int]]] = {}
         for call in self.accepted:
             if call.subject == "usage":
-                window = found.setdefault(call.value["windowId"], [])
+                window = counts.setdefault(call.value["windowId"], [])
                 window.append(call.value["counts"])
-        return found
+        return counts
 
     async def _handle(self, incoming: IncomingRequest, exchange: Exchange) -> None:
         value = orjson.loads(incoming.body)
@@ -89,11 +90,11 @@
         subject = "usage"
         if incoming.target == b"/scale":
             subject = f"{value['service']}/{value['zone']}"
-        if token < self._fences.get(subject, -1):
+        if token < self._highest_tokens.get(subject, -1):
             await exchange.send(409, [], b'{"error":"a higher fence was seen"}')
             return
-        self._fences[subject] = token
-        if value.get("preemptible") and value["zone"] in self.sold_out:
+        self._highest_tokens[subject] = token
+        if value.get("preemptible") and value["zone"] in self.exhausted_domains:
             await exchange.send(409, [], b'{"error":"none of that kind"}')
             return
         self.accepted.append(
--- a/poplarrelay/standins/users/runner.py
+++ b/poplarrelay/standins/users/runner.py
@@ -1,4 +1,4 @@
-"""Stand-in of an endpoint, with the faults that the platform's pages name."""
+"""Stand-in of an endpoint, with the faults that the platform's documents name."""
 
 from __future__ import annotations
 
@@ -14,26 +14,27 @@
 
 
 class Fault(Enum):
-    """How an endpoint treats a request instead of answering it.
+    """How an endpoint handles a request incorrectly.
 
     SHED
-        Refuse it without running it.
+        Refuse the request without running it.
     ERROR
-        Run it and answer with an error.
+        Run the request and answer with status 500.
     RESET
-        Run it and reset the connection.
+        Run the request and reset the connection.
     HANG
-        Run it and never answer.
+        Run the request and never answer.
     SHORT
-        Break off in the middle of the body.
+        Close the connection in the middle of the response body.
     EXTRA
-        Send a second answer after the whole one.
+        Send a second response after the complete one.
     STRAY
-        Answer with the id of another request.
+        Send a response with the id of another request.
     NOISE
-        Send bytes that are no answer.
+        Send bytes that are not an HTTP response.
     UNFRAMED
-        Answer without a length; the connection's end ends the body.
+        Send a response without a length, so that the end of the connection ends the
+        body.
     """
 
     SHED = "shed"
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request as the endpoint got it."""
+    """Request as the endpoint received it; `ran` if the endpoint ran it."""
 
     at: float
     method: str
@@ -60,38 +61,40 @@
 
     @property
     def attempt(self) -> str:
-        """Return the caller's id of the request."""
+        """Return the attempt id that the caller sent, or an empty string."""
         return self.headers.get("x-poplarrelay-attempt-id", "")
 
 
 @dataclass(slots=True)
 class RunnerStandIn:
-    """One endpoint.
+    """Endpoint that serves calls or streams over HTTP/1.1.
 
     Attributes
     ----------
     endpoint : str
-        Its id; a request that names another one is refused.
+        Endpoint id. A request that names another endpoint is refused.
     events : int
-        Events of a stream; 0 makes it a plain service.
+        Number of events in a stream. With 0 the endpoint answers plain calls.
     pause_s : float
-        Time between two events, or of a call.
+        Seconds before each event, or seconds that a call takes.
     faults : list of Fault
-        Taken in turn by the next requests.
+        Faults of the next requests, in order; each request removes one.
     break_after : int or None
-        Event in whose middle streams break off.
+        Number of the event in the middle of which streams are reset.
     received : list of ReceivedRequest
         All requests, in order of arrival.
-    working : int
-        Streams that are under way.
+    connections : int
+        Number of connections accepted so far.
+    active_streams : int
+        Number of streams in progress.
     cut : list of str
-        Ids of requests whose caller closed before the end.
+        Attempt ids of streams whose caller closed the connection before the end.
     limit : str or None
-        Value of the ``Server-Limit`` header in its answers, None to omit it.
+        Value of the ``Server-Limit`` header in responses, None to omit it.
     crash_bodies : set of bytes
         Request bodies that crash the endpoint when the request starts to run.
     on_crash : callable or None
-        Called after such a crash.
+        Called after the first such crash.
     """
 
     endpoint: str
@@ -103,7 +106,7 @@
     received: list[ReceivedRequest] = field(default_factory=list)
     cut: list[str] = field(default_factory=list)
     connections: int = 0
-    working: int = 0
+    active_streams: int = 0
     limit: str | None = None
     crash_bodies: set[bytes] = field(default_factory=set)
     on_crash: Callable[[], None] | None = None
@@ -113,7 +116,7 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, port: int = 0) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._serve, self.host, port)
         self._port = self._server.sockets[0].getsockname()[1]
 
@@ -131,8 +134,8 @@
 
     @property
     def busy(self) -> bool:
-        """Return whether a request is being worked on."""
-        return self.working > 0
+        """Return whether a stream is in progress."""
+        return self.active_streams > 0
 
     @property
     def ran(self) -> list[ReceivedRequest]:
@@ -146,19 +149,20 @@
         self._writers.add(writer)
         http = h11.Connection(h11.SERVER)
         try:
-            while await self._one(http, reader, writer):
+            while await self._serve_request(http, reader, writer):
                 http.start_next_cycle()
         except (ConnectionError, asyncio.IncompleteReadError, h11.ProtocolError):
-            # The other side broke off, which is what some tests are about.
+            # The caller closed the connection, as some tests require.
             pass
         except asyncio.CancelledError:
-            # The event loop ends; passed on, asyncio prints it for each connection.
+            # The event loop ends. If this error were raised again, asyncio would print
+            # it for each connection.
             pass
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _one(
+    async def _serve_request(
         self,
         http: h11.Connection,
         reader: asyncio.StreamReader,
@@ -182,8 +186,8 @@
         assert head is not None
         headers = {k.decode().lower(): v.decode() for k, v in head.headers}
         fault = self.faults.pop(0) if self.faults else None
-        wanted = headers.get("x-poplarrelay-target-instance", self.endpoint)
-        runs = fault is not Fault.SHED and wanted == self.endpoint
+        target_instance = headers.get("x-poplarrelay-target-instance", self.endpoint)
+        runs = fault is not Fault.SHED and target_instance == self.endpoint
         self.received.append(
             ReceivedRequest(
                 monotonic(),
@@ -195,7 +199,7 @@
             )
         )
         attempt = headers.get("x-poplarrelay-attempt-id", "")
-        if wanted != self.endpoint:
+        if target_instance != self.endpoint:
             return self._answer(http, writer, 421, attempt, b"", refused=True)
         if fault is Fault.SHED:
             return self._answer(http, writer, 503, attempt, b"", refused=True)
@@ -203,27 +207,27 @@
             self._crash(http, writer, attempt)
             return False
         if fault is not None:
-            return await self._misbehave(fault, http, reader, writer, attempt)
+            return await self._answer_with_fault(fault, http, reader, writer, attempt)
         if self.events:
             return await self._stream(http, reader, writer, headers, attempt)
         await asyncio.sleep(self.pause_s)
         return self._answer(http, writer, 200, attempt, self.body_of(attempt))
 
     def body_of(self, attempt: str) -> bytes:
-        """Return the body of the answer to a request."""
+        """Return the body of the response to an attempt."""
         return f"answer to {attempt} by {self.endpoint}".encode()
 
     def event_of(self, number: int) -> bytes:
-        """Return an event of a stream; it does not depend on the endpoint."""
+        """Return an event of a stream; it is the same at every endpoint."""
         return f"id: {number}\ndata: token {number}\n\n".encode()
 
-    def _head(
-        self, attempt: str, *more: tuple[str, str], refused: bool = False
+    def _response_headers(
+        self, attempt: str, *extra_headers: tuple[str, str], refused: bool = False
     ) -> list[tuple[str, str]]:
         headers = [
             ("X-Poplarrelay-Attempt-Id", attempt),
             ("Keep-Alive", "timeout=5"),
-            *more,
+            *extra_headers,
         ]
         if self.limit is not None and not refused:
             headers.append(("Server-Limit", self.limit))
@@ -240,7 +244,7 @@
         body: bytes,
         refused: bool = False,
     ) -> bool:
-        headers = self._head(
+        headers = self._response_headers(
             attempt, ("Content-Length", str(len(body))), refused=refused
         )
         for event in (
@@ -254,20 +258,22 @@
     def _crash(
         self, http: h11.Connection, writer: asyncio.StreamWriter, attempt: str
     ) -> None:
-        """Send the head of a stream, if it is one, and close all connections."""
+        """Close all connections and stop; a stream gets its response head first."""
         if self.events:
-            more = ("Content-Type", "text/event-stream")
-            headers = self._head(attempt, more, ("Transfer-Encoding", "chunked"))
+            extra_headers = ("Content-Type", "text/event-stream")
+            headers = self._response_headers(
+                attempt, extra_headers, ("Transfer-Encoding", "chunked")
+            )
             head = h11.Response(status_code=200, headers=headers)
             writer.write(http.send(head) or b"")
-        for each in list(self._writers):
-            each.close()
+        for open_writer in list(self._writers):
+            open_writer.close()
         self.stop()
         if self.on_crash is not None and not self._crashed:
             self.on_crash()
         self._crashed = True
 
-    async def _misbehave(
+    async def _answer_with_fault(
         self,
         fault: Fault,
         http: h11.Connection,
@@ -308,17 +314,19 @@
         attempt: str,
     ) -> bool:
         first = int(headers.get("last-event-id", "0")) + 1
-        more = (
+        extra_headers = (
             ("Content-Type", "text/event-stream"),
             ("Transfer-Encoding", "chunked"),
         )
-        head = h11.Response(status_code=200, headers=self._head(attempt, *more))
+        head = h11.Response(
+            status_code=200, headers=self._response_headers(attempt, *extra_headers)
+        )
         writer.write(http.send(head) or b"")
-        gone = asyncio.ensure_future(reader.read(1))
-        self.working += 1
+        disconnected = asyncio.ensure_future(reader.read(1))
+        self.active_streams += 1
         try:
             for number in range(first, self.events + 1):
-                done, _ = await asyncio.wait({gone}, timeout=self.pause_s)
+                done, _ = await asyncio.wait({disconnected}, timeout=self.pause_s)
                 if done:
                     self.cut.append(attempt)
                     return False
@@ -331,8 +339,8 @@
                 writer.write(http.send(h11.Data(data=event)))
                 await writer.drain()
         finally:
-            self.working -= 1
-            gone.cancel()
+            self.active_streams -= 1
+            disconnected.cancel()
         writer.write(http.send(h11.EndOfMessage()))
         await writer.drain()
         return False
--- a/poplarrelay/standins/users/store.py
+++ b/poplarrelay/standins/users/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: topics, conditions, groups, and its outages."""
+"""Stand-in of the platform's store: topics, conditional appends, groups, outages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 __all__ = ["Outage", "StoreListener", "StoreStandIn"]
 
-#: Partitions of every topic.
+#: Number of partitions of every topic.
 PARTITIONS = 12
 JSON = [(b"Content-Type", b"application/json")]
 _LENGTH = struct.Struct(">I")
@@ -27,7 +27,7 @@
 
 
 class Outage(Enum):
-    """How the store fails, for all callers or for some."""
+    """How a listener of the store fails."""
 
     NONE = "none"
     SILENT = "silent"
@@ -37,7 +37,10 @@
 
 @dataclass(slots=True)
 class _Partition:
-    """Records from `start` on; the newest of each key stays for ever."""
+    """Records from offset `start` on, and the newest record of each key.
+
+    `newest` has them also after `StoreStandIn.compact` removed the records.
+    """
 
     records: list[bytes] = field(default_factory=list)
     start: int = 0
@@ -64,27 +67,28 @@
 
 @dataclass(slots=True)
 class _Group:
-    """Members with the time of their last join, and who holds each partition."""
+    """Members with the time of their last join, and the owner of each partition."""
 
     generation: int = 0
-    seen: dict[str, float] = field(default_factory=dict)
-    ttl: dict[str, float] = field(default_factory=dict)
+    joined_at: dict[str, float] = field(default_factory=dict)
+    ttl_s: dict[str, float] = field(default_factory=dict)
     owners: dict[int, str] = field(default_factory=dict)
 
 
 class StoreListener:
-    """One address of the store, with troubles of its own.
+    """Address of the store with its own faults.
 
     Attributes
     ----------
     outage : Outage
-        How the callers of this address fail at the moment.
+        Current outage at this address.
     lose_answers : bool
-        Whether their calls are carried out and not answered.
+        Whether calls at this address are carried out but not answered.
     silent_topics : set of str
-        Topics whose reads get no answer, while all others do.
+        Topics whose calls get no answer, for example reads. Calls for other topics
+        are answered.
     unanswered_reads : Counter of str
-        Reads of a topic that get no answer, before all others do again.
+        Number of next calls for a topic, for example reads, that get no answer.
     """
 
     def __init__(self, store: StoreStandIn, host: str) -> None:
@@ -97,11 +101,11 @@
         self.unanswered_reads: Counter[str] = Counter()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         await self._listener.start()
 
     def begin_outage(self, outage: Outage) -> None:
-        """Begin an outage that ends the calls that wait as well."""
+        """Begin an outage and drop all connections, with their waiting calls."""
         self.outage = outage
         self._drop_connections()
 
@@ -127,20 +131,20 @@
             exchange.abort()
             return
         target = incoming.target.decode()
-        hidden = any(f"topic={topic}&" in target for topic in self.silent_topics)
+        unanswered = any(f"topic={topic}&" in target for topic in self.silent_topics)
         for topic in [t for t, left in self.unanswered_reads.items() if left > 0]:
             if f"topic={topic}&" in target:
                 self.unanswered_reads[topic] -= 1
-                hidden = True
-        if hidden or self.outage is Outage.SILENT:
-            await self._hang()
+                unanswered = True
+        if unanswered or self.outage is Outage.SILENT:
+            await self._wait_until_closed()
         status, body = await self._store.call(incoming)
         if self.lose_answers:
-            await self._hang()
+            await self._wait_until_closed()
         await exchange.send(status, JSON, body)
 
-    async def _hang(self) -> None:
-        # Cancelled when the caller gives up and closes.
+    async def _wait_until_closed(self) -> None:
+        # The listener cancels this wait when the caller closes the connection.
         await asyncio.Event().wait()
 
 
@@ -152,16 +156,16 @@
         self._groups: dict[str, _Group] = {}
         self._appended = asyncio.Event()
         self.calls: dict[str, int] = {}
-        #: Reads answered, by topic.
+        #: Number of reads by topic.
         self.reads: Counter[str] = Counter()
 
     def _partition(self, topic: str, part: int) -> _Partition:
         return self._partitions.setdefault((topic, part), _Partition())
 
-    # what operators and endpoints write
+    # records that operators and endpoints write
 
     def put(self, topic: str, key: str, value: Any) -> None:
-        """Write the newest value of a key; None drops the key."""
+        """Write the newest value of a key; None removes the key."""
         name = key.encode()
         content = b"" if value is None else orjson.dumps(value)
         record = bytes((len(name),)) + name + content
@@ -169,12 +173,12 @@
         self._wake()
 
     def put_raw(self, topic: str, record: bytes) -> None:
-        """Append a record as another writer may, whether or not it has a whole key."""
+        """Append a record without checks, as other writers can; its key can be cut."""
         self._partition(topic, 0).add(record, keyed=False)
         self._wake()
 
     def compact(self, topic: str) -> None:
-        """Drop all records of a topic but the newest of each key."""
+        """Remove all records of a topic except the newest of each key."""
         partition = self._partition(topic, 0)
         partition.start = partition.end
         partition.records.clear()
@@ -185,17 +189,20 @@
         return list(self._partition(topic, part).records)
 
     def rebalance(self, group: str) -> None:
-        """Deal a group's partitions anew, as happens without any request.
+        """Reassign the partitions of a group, as the store can do without a request.
 
-        Each goes to the member after its owner by name: to another one, where there is.
+        Partition 0 goes to the member that follows its owner by name, so its owner
+        changes if the group has two members or more.
         """
-        found = self._groups.get(group)
-        if found is None or not found.seen:
+        member_group = self._groups.get(group)
+        if member_group is None or not member_group.joined_at:
             return
-        names = sorted(found.seen)
-        first = bisect_right(names, found.owners.get(0, ""))
-        found.owners = {p: names[(first + p) % len(names)] for p in range(PARTITIONS)}
-        found.generation += 1
+        names = sorted(member_group.joined_at)
+        first = bisect_right(names, member_group.owners.get(0, ""))
+        member_group.owners = {
+            p: names[(first + p) % len(names)] for p in range(PARTITIONS)
+        }
+        member_group.generation += 1
 
     def _wake(self) -> None:
         self._appended.set()
@@ -204,9 +211,9 @@
     # calls
 
     async def call(self, incoming: IncomingRequest) -> tuple[int, bytes]:
-        """Carry out a call and return its answer."""
+        """Carry out a call; return the status and body of its answer."""
         path, _, query = incoming.target.decode().partition("?")
-        values = {name: found[0] for name, found in parse_qs(query).items()}
+        values = {name: given[0] for name, given in parse_qs(query).items()}
         name = path.rsplit("/", 1)[-1]
         self.calls[name] = self.calls.get(name, 0) + 1
         call = {
@@ -224,26 +231,26 @@
         topic = query["topic"]
         partition = self._partition(topic, int(query["part"]))
         producer = query.get("producer")
-        stamp: tuple[str, int, int] | None = None
+        append_id: tuple[str, int, int] | None = None
         if producer is not None:
             epoch = int(query["epoch"])
             sequence = int(query.get("sequence", 0))
-            stamp = (producer, epoch, sequence)
-            refusal = _check_stamp(partition, stamp)
+            append_id = (producer, epoch, sequence)
+            refusal = _check_append_id(partition, append_id)
             if refusal is not None:
                 return refusal
-            if stamp in partition.last_answers and body:
-                return 200, orjson.dumps(partition.last_answers[stamp])
+            if append_id in partition.last_answers and body:
+                return 200, orjson.dumps(partition.last_answers[append_id])
         if "at" in query and int(query["at"]) != partition.end:
             return 412, orjson.dumps({"endOffset": partition.end})
         first = partition.end
-        for record in _split(body):
+        for record in _split_records(body):
             partition.add(record, topic.startswith("keyed."))
         answer = {"offset": first, "endOffset": partition.end}
-        if stamp is not None:
-            partition.epochs[stamp[0]] = stamp[1]
-            partition.sequences[stamp[0]] = stamp[2]
-            partition.last_answers[stamp] = answer
+        if append_id is not None:
+            partition.epochs[append_id[0]] = append_id[1]
+            partition.sequences[append_id[0]] = append_id[2]
+            partition.last_answers[append_id] = answer
         self._wake()
         return 200, orjson.dumps(answer)
 
@@ -251,20 +258,20 @@
         partition = self._partition(query["topic"], int(query["part"]))
         self.reads[query["topic"]] += 1
         source = int(query["source"])
-        until = monotonic() + int(query.get("waitMs", 0)) / 1000
-        while source >= partition.end and monotonic() < until:
+        deadline = monotonic() + int(query.get("waitMs", 0)) / 1000
+        while source >= partition.end and monotonic() < deadline:
             appended = self._appended
             try:
-                async with asyncio.timeout(until - monotonic()):
+                async with asyncio.timeout(deadline - monotonic()):
                     await appended.wait()
             except TimeoutError:
                 break
         if source < partition.start:
             return 410, orjson.dumps({"startOffset": partition.start})
-        found = partition.records[source - partition.start :]
-        found = found[: int(query.get("maxFetch", 1024))]
+        selected = partition.records[source - partition.start :]
+        selected = selected[: int(query.get("maxFetch", 1024))]
         parts = [_OFFSETS.pack(partition.end, partition.start)]
-        parts += [_LENGTH.pack(len(record)) + record for record in found]
+        parts += [_LENGTH.pack(len(record)) + record for record in selected]
         return 200, b"".join(parts)
 
     async def _newest(self, query: dict[str, str], body: bytes) -> tuple[int, bytes]:
@@ -290,13 +297,13 @@
         member = call["memberId"]
         now = monotonic()
         self._expire(group, now)
-        if member not in group.seen:
+        if member not in group.joined_at:
             group.generation += 1
-        group.seen[member] = now
-        group.ttl[member] = call["ttlMs"] / 1000
+        group.joined_at[member] = now
+        group.ttl_s[member] = call["ttlMs"] / 1000
         for part in range(PARTITIONS):
             group.owners.setdefault(part, member)
-        held = [
+        held_partitions = [
             [call["topicList"][0], part, 0]
             for part, owner in sorted(group.owners.items())
             if owner == member
@@ -304,36 +311,36 @@
         answer = {
             "generation": group.generation,
             "ttlMs": call["ttlMs"],
-            "parts": held,
+            "parts": held_partitions,
         }
         return 200, orjson.dumps(answer)
 
     async def _leave(self, query: dict[str, str], body: bytes) -> tuple[int, bytes]:
         call = orjson.loads(body)
         group = self._groups.setdefault(call["group"], _Group())
-        if call["memberId"] in group.seen:
+        if call["memberId"] in group.joined_at:
             self._remove(group, call["memberId"])
         return 200, b"{}"
 
     def _expire(self, group: _Group, now: float) -> None:
-        for member, seen in list(group.seen.items()):
-            if now - seen > group.ttl[member]:
+        for member, joined_at in list(group.joined_at.items()):
+            if now - joined_at > group.ttl_s[member]:
                 self._remove(group, member)
 
     def _remove(self, group: _Group, member: str) -> None:
-        del group.seen[member]
+        del group.joined_at[member]
         group.generation += 1
         group.owners = {p: o for p, o in group.owners.items() if o != member}
 
 
-def _check_stamp(
-    partition: _Partition, stamp: tuple[str, int, int]
+def _check_append_id(
+    partition: _Partition, append_id: tuple[str, int, int]
 ) -> tuple[int, bytes] | None:
-    producer, epoch, sequence = stamp
-    known = partition.epochs.get(producer, -1)
-    if epoch < known:
+    producer, epoch, sequence = append_id
+    known_epoch = partition.epochs.get(producer, -1)
+    if epoch < known_epoch:
         return 409, orjson.dumps({"reason": "fenced"})
-    if epoch > known or stamp in partition.last_answers:
+    if epoch > known_epoch or append_id in partition.last_answers:
         return None
     if sequence != partition.sequences[producer] + 1:
         expected = partition.sequences[producer] + 1
@@ -341,12 +348,12 @@
     return None
 
 
-def _split(body: bytes) -> list[bytes]:
+def _split_records(body: bytes) -> list[bytes]:
     records: list[bytes] = []
-    at = 0
-    while at < len(body):
-        (size,) = _LENGTH.unpack_from(body, at)
-        at += _LENGTH.size
-        records.append(body[at : at + size])
-        at += size
+    position = 0
+    while position < len(body):
+        (size,) = _LENGTH.unpack_from(body, position)
+        position += _LENGTH.size
+        records.append(body[position : position + size])
+        position += size
     return records
