--- a/poplarrelay/testing/builders.py
+++ b/poplarrelay/testing/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data: small sites, worlds and rows."""
+"""Builders of small sites and their configuration, for tests."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def template_body(**changes: Any) -> dict[str, Any]:
-    """Return a template's body."""
+    """Return the body of a template; keyword arguments replace its fields."""
     body: dict[str, Any] = {
         "name": "base",
         "models": ["small"],
@@ -60,7 +60,7 @@
 
 
 def deployment_body(team: str, **changes: Any) -> dict[str, Any]:
-    """Return a deployment's body."""
+    """Return the body of a deployment; keyword arguments replace its fields."""
     body: dict[str, Any] = {
         "team": team,
         "template": "base",
@@ -77,14 +77,14 @@
     service: dict[str, Any] | None = None,
     template: dict[str, Any] | None = None,
 ) -> Site:
-    """Return a site of two teams over four failure domains.
+    """Return a site with two teams and four failure domains.
 
     Parameters
     ----------
     nodes, engines, services : int
-        How many of each.
+        Number of nodes, engines and services.
     engine, service, template : dict or None
-        Changes to each of them.
+        Fields to replace in every engine, every service and the template.
     """
     endpoints = [_engine(index, **(engine or {})) for index in range(engines)]
     endpoints += [_service(index, **(service or {})) for index in range(services)]
--- a/poplarrelay/testing/endpoint_lists.py
+++ b/poplarrelay/testing/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Nodes that tell each other of their lists of endpoints, without a network."""
+"""Nodes that exchange their endpoint lists through an in-memory network."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def endpoint_record(state: str = "ready", **changes: Any) -> bytes:
-    """Return an endpoint's record; fields may be changed, or left out by None."""
+    """Return an endpoint's record; `changes` replace fields, and None omits one."""
     value = {
         "service": "desk",
         "address": "10.9.0.1:7000",
@@ -48,12 +48,12 @@
 
 @dataclass(slots=True)
 class StoredTopic:
-    """All records of the endpoints' topic, and when each was written."""
+    """Records of the topic of endpoints, with the time at which each was written."""
 
     records: list[tuple[float, str, bytes | None]] = field(default_factory=list)
 
     def write(self, now: float, key: str, content: bytes | None) -> None:
-        """Append a record; None removes the key's."""
+        """Append a record; the content None removes the key."""
         self.records.append((now, key, content))
 
     @property
@@ -62,16 +62,16 @@
         return Offset(len(self.records))
 
     def newest(self) -> list[KeyedRecord]:
-        """Return the newest record of each key that has one."""
-        found = {key: offset for offset, (_, key, _) in enumerate(self.records)}
+        """Return the newest record of each key that has not been removed."""
+        offsets = {key: offset for offset, (_, key, _) in enumerate(self.records)}
         return [
             KeyedRecord(key, content, Offset(offset))
-            for key, offset in found.items()
+            for key, offset in offsets.items()
             if (content := self.records[offset][2]) is not None
         ]
 
     def since(self, start: Offset) -> list[KeyedRecord]:
-        """Return all records from an offset on."""
+        """Return all records at or after an offset."""
         return [
             KeyedRecord(key, content, Offset(offset))
             for offset, (_, key, content) in enumerate(self.records)
@@ -79,7 +79,7 @@
         ]
 
     def written(self, key: str, before: float) -> int:
-        """Return the offset of a key's newest record before a time, -1 if none."""
+        """Return the offset of a key's last record before a time, -1 if none."""
         offsets = [
             offset
             for offset, (at, name, _) in enumerate(self.records)
@@ -89,29 +89,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """The news that a node begins to read the store."""
+class ReadNotice:
+    """Announcement that the sender begins to read the store."""
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A message on its way, in the form for JSON."""
+    """A message in transit, with its sender and receiver."""
 
     sender: str
     receiver: str
-    message: ListAnnouncement | ChangesRequest | ChangesReply | Reading
+    message: ListAnnouncement | ChangesRequest | ChangesReply | ReadNotice
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that the store has not answered yet.
+    """A read of the store without a reply so far.
 
     Attributes
     ----------
     sent_at : float
-        Time of the node's clock.
+        Time of the read by the node's clock.
+    end : Offset
+        End of the topic at that time.
     answered_at : float
-        True time of the answer.
+        Simulated time at which the reply arrives.
     """
 
     sent_at: float
@@ -121,18 +123,26 @@
 
 @dataclass(slots=True)
 class ListNode:
-    """One node: its tables, its list, and what it tells.
+    """A node with its tables, its endpoint list and its list exchange.
 
     Attributes
     ----------
-    ahead_s : float
-        By how much its monotonic clock is ahead of true time; nodes' clocks have
-        nothing to do with each other.
+    clock_offset_s : float
+        Seconds by which the node's monotonic clock is ahead of simulated time. The
+        clocks of different nodes are unrelated.
+    reads_failed_s : float
+        Seconds for which the node's reads of the store have failed, 0 if they succeed.
+    full_reads_requested : int
+        Number of times that the exchange has requested a full read of the store.
+    reads : int
+        Number of reads that `read_when_due` has begun.
+    pending : PendingRead or None
+        Read that is in progress.
     """
 
     name: str
     network: EndpointListNetwork
-    ahead_s: float
+    clock_offset_s: float
     state: EntryState = field(init=False)
     endpoints: EndpointList = field(init=False)
     exchange: ListExchange = field(init=False)
@@ -170,25 +180,37 @@
             self.state.freshness,
             self,
             lambda now: [name for name in self.network.nodes if name != self.name],
-            self._ask_whole,
+            self._request_full_read,
             lambda: None,
             rng,
         )
 
-    def _ask_whole(self) -> None:
+    def _request_full_read(self) -> None:
         self.full_reads_requested += 1
 
     def now(self) -> float:
         """Return the node's monotonic time."""
-        return self.network.now + self.ahead_s
+        return self.network.now + self.clock_offset_s
 
     @property
     def confirmed_at(self) -> float:
-        """Return the true time as of which the node takes its list for the store's."""
-        return self.state.freshness.confirmed_at - self.ahead_s
+        """Return the simulated time at which the list last equalled the store's.
+
+        The value is the node's estimate, converted from the node's own clock.
+        """
+        return self.state.freshness.confirmed_at - self.clock_offset_s
 
     def read(self, answer_after_s: float = 0.0, whole: bool = False) -> None:
-        """Read the store, which answers after a while."""
+        """Read the store, and apply its reply.
+
+        Parameters
+        ----------
+        answer_after_s : float
+            Seconds until the store replies; simulated time advances by them.
+        whole : bool
+            Whether to read the newest record of each key instead of the records
+            after the known offset.
+        """
         freshness = self.state.freshness
         sent_at, start = self.now(), freshness.as_of
         self.network.now += answer_after_s
@@ -201,36 +223,36 @@
         freshness.note_read(sent_at, end)
 
     def uses(self, name: str) -> bool:
-        """Return whether the node sends new requests to an endpoint."""
+        """Return whether the node has an endpoint that accepts new requests."""
         row = self.state.endpoints.rows.get(EndpointId(name))
         return row is not None and row.accepts_work
 
-    # the sender's side
+    # Interface that the list exchange sends messages through.
 
     def send_announcement(
         self, hosts: Sequence[str], announcement: ListAnnouncement
     ) -> None:
-        """Put a hint on its way."""
+        """Send an announcement of this node's list."""
         self.network.post(self.name, hosts, announcement)
 
     def send_read_notice(
         self, hosts: Sequence[str], announcement: ListAnnouncement
     ) -> None:
-        """Put the news that this node reads on its way."""
-        self.network.post(self.name, hosts, Reading())
+        """Announce that this node begins to read the store."""
+        self.network.post(self.name, hosts, ReadNotice())
 
     def send_changes_request(
         self, hosts: Sequence[str], request: ChangesRequest
     ) -> None:
-        """Put a question on its way."""
+        """Request the changes since an offset."""
         self.network.post(self.name, hosts, request)
 
     def send_changes_reply(self, host: str, reply: ChangesReply) -> None:
-        """Put an answer on its way."""
+        """Reply to a request for changes."""
         self.network.post(self.name, [host], reply)
 
     def read_when_due(self, answer_after_s: float) -> None:
-        """Begin a read that is due, and take the answer of one that has begun."""
+        """Begin a read if one is due, or apply the reply of the pending read."""
         network, freshness = self.network, self.state.freshness
         pending = self.pending
         if pending is not None and network.now >= pending.answered_at:
@@ -243,9 +265,9 @@
             self.exchange.announce_read(self.now())
 
     def receive(self, envelope: Envelope) -> None:
-        """Take what another node sent, as decoded from its bytes."""
+        """Encode and decode a message as on the wire, and process it."""
         message = envelope.message
-        if isinstance(message, Reading):
+        if isinstance(message, ReadNotice):
             self.exchange.receive_read_notice(self.now())
             return
         raw = orjson.loads(orjson.dumps(message.encode()))
@@ -266,12 +288,12 @@
 
 @dataclass(slots=True)
 class EndpointListNetwork:
-    """Nodes, the store's topic, and what is on its way between nodes.
+    """Nodes, the store's topic, and the messages in transit between nodes.
 
     Attributes
     ----------
     now : float
-        True time in seconds, which no node knows.
+        Simulated time in seconds; no node can read it.
     """
 
     nodes: dict[str, ListNode] = field(default_factory=dict)
@@ -281,7 +303,7 @@
 
     @classmethod
     def of(cls, count: int, rng: Random) -> EndpointListNetwork:
-        """Return a network of nodes whose clocks differ by hours."""
+        """Return a network of nodes with clock offsets of up to 9,999 seconds."""
         network = cls()
         for number in range(count):
             name = f"n{number}"
@@ -292,25 +314,25 @@
         self,
         sender: str,
         hosts: Sequence[str],
-        message: ListAnnouncement | ChangesRequest | ChangesReply | Reading,
+        message: ListAnnouncement | ChangesRequest | ChangesReply | ReadNotice,
     ) -> None:
-        """Put a message on its way to some nodes."""
+        """Send a message to the nodes on the given hosts."""
         self.in_transit += [Envelope(sender, host, message) for host in hosts]
 
     def deliver(self, index: int = 0) -> None:
-        """Let one message arrive."""
+        """Deliver one of the messages in transit, by default the oldest."""
         envelope = self.in_transit.pop(index)
         self.nodes[envelope.receiver].receive(envelope)
 
     def deliver_next(
         self, kind: type[ListAnnouncement | ChangesRequest | ChangesReply]
     ) -> None:
-        """Let the first message of a kind arrive, before all others."""
+        """Deliver the oldest message of a kind before all others."""
         kinds = [type(envelope.message) for envelope in self.in_transit]
         self.deliver(kinds.index(kind))
 
     def write(self, name: str, content: bytes | None) -> None:
-        """Let an endpoint write its record, or remove it."""
+        """Write the record of an endpoint; the content None removes it."""
         self.topic.write(self.now, name, content)
 
     def run(
@@ -320,24 +342,28 @@
         latency_s: float,
         answer_after_s: float | None = None,
     ) -> None:
-        """Let time pass, in which every message takes the same time on its way.
+        """Advance simulated time; all messages have the same latency.
 
         Parameters
         ----------
+        seconds, step_s : float
+            Time to simulate, and length of a step.
+        latency_s : float
+            Seconds that a message is in transit.
         answer_after_s : float or None
-            Time that the store takes to answer; None lets no node read it.
+            Seconds until the store replies to a read; if None, no node reads it.
         """
         end = self.now + seconds
-        due: list[tuple[float, Envelope]] = []
+        scheduled: list[tuple[float, Envelope]] = []
         while self.now < end:
             self.now += step_s
             for node in self.nodes.values():
                 if answer_after_s is not None:
                     node.read_when_due(answer_after_s)
                 node.exchange.tick(node.now())
-            due += [(self.now + latency_s, envelope) for envelope in self.in_transit]
+            scheduled += [(self.now + latency_s, e) for e in self.in_transit]
             self.in_transit.clear()
-            arrived = [envelope for at, envelope in due if at <= self.now]
-            due = [(at, envelope) for at, envelope in due if at > self.now]
+            arrived = [envelope for at, envelope in scheduled if at <= self.now]
+            scheduled = [(at, e) for at, e in scheduled if at > self.now]
             for envelope in arrived:
                 self.nodes[envelope.receiver].receive(envelope)
--- a/poplarrelay/testing/entry_site.py
+++ b/poplarrelay/testing/entry_site.py
@@ -1,4 +1,4 @@
-"""Entry nodes in front of stand-ins of the users' platform, in one event loop."""
+"""Entry nodes and stand-ins of the platform that run in one event loop, for tests."""
 
 from __future__ import annotations
 
@@ -48,28 +48,33 @@
 
 HOST = "desk.example"
 KEY = "key-of-alpha"
-#: Services of the example configuration: a plain one, and one of streams.
+#: Services of the example configuration: one for plain calls and one for streams.
 CALLS, STREAMS = "desk", "drafts"
-#: Seconds within which a condition of a test must come true.
-PATIENCE_S = 12.0
-#: Seconds within which nodes must have heard of each other, or of another's end.
-NAMED_S = 15.0
+#: Seconds within which a condition must become true.
+CONDITION_TIMEOUT_S = 12.0
+#: Seconds within which nodes must detect the start or the end of another node.
+RESOLVE_TIMEOUT_S = 15.0
 
-_NUMBERS = count(1)
+_UNIQUE_NUMBERS = count(1)
 
 
 def entry_configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a configuration as an operator writes it.
+    """Return an example configuration in the form that an operator writes.
 
     Parameters
     ----------
     version : int
-        Its number.
+        Version number of the configuration.
     **changes
-        Values that replace those of the example, by top-level name.
+        Values that replace top-level fields of the example.
     """
-    plain = {"host": HOST, "service": CALLS, "timeoutMs": 1500, "targetLatencyMs": 200}
-    stream = {
+    call_route = {
+        "host": HOST,
+        "service": CALLS,
+        "timeoutMs": 1500,
+        "targetLatencyMs": 200,
+    }
+    stream_route = {
         "host": HOST,
         "service": STREAMS,
         "routeType": "streaming",
@@ -81,42 +86,42 @@
         "version": version,
         "routes": [
             {
-                **plain,
+                **call_route,
                 "name": "book",
                 "pathPrefix": "/book/",
                 "routeType": "non_idempotent",
                 "maxAttempts": 1,
             },
             {
-                **plain,
+                **call_route,
                 "name": "pay",
                 "pathPrefix": "/pay/",
                 "routeType": "non_idempotent",
                 "maxAttempts": 2,
             },
             {
-                **plain,
+                **call_route,
                 "name": "look",
                 "pathPrefix": "/look/",
                 "routeType": "idempotent",
                 "maxAttempts": 2,
             },
             {
-                **plain,
+                **call_route,
                 "name": "open",
                 "pathPrefix": "/open/",
                 "routeType": "idempotent",
                 "anonymous": True,
             },
             {
-                **stream,
+                **stream_route,
                 "name": "draft",
                 "pathPrefix": "/draft/",
                 "resumable": True,
                 "maxAttempts": 2,
             },
             {
-                **stream,
+                **stream_route,
                 "name": "brief",
                 "pathPrefix": "/brief/",
                 "resumable": False,
@@ -139,23 +144,33 @@
 
 
 def run_scenario(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a scenario in an event loop of its own, for a minute at most."""
+    """Run a scenario in a new event loop, for one minute at most."""
     asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 async def poll_until(condition: Callable[[], Any], what: str = "") -> Any:
-    """Wait until a condition is true and return its value."""
-    end = monotonic() + PATIENCE_S
+    """Poll a condition until its value is true, and return that value."""
+    deadline = monotonic() + CONDITION_TIMEOUT_S
     while not (value := condition()):
-        if monotonic() > end:
-            raise AssertionError(f"not within {PATIENCE_S} s: {what or condition}")
+        if monotonic() > deadline:
+            raise AssertionError(
+                f"condition false for {CONDITION_TIMEOUT_S} s: {what or condition}"
+            )
         await asyncio.sleep(0.01)
     return value
 
 
 @dataclass(slots=True)
 class EntryProcess:
-    """A node that runs as a process of its own."""
+    """A node that runs as a separate process.
+
+    Attributes
+    ----------
+    path : Path
+        Settings file of the node.
+    output : Path
+        File that standard output and standard error are written to.
+    """
 
     process: asyncio.subprocess.Process
     path: Path
@@ -171,12 +186,12 @@
         return [line["message"] for line in self.lines()]
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it still runs."""
+        """Send a signal to the process if it still runs."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once, if it still runs."""
+        """Kill the process if it still runs, and wait until it has ended."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -184,19 +199,19 @@
 
 @dataclass(slots=True)
 class EntrySite:
-    """Nodes, endpoints and the platform of one test.
+    """Nodes, endpoints and platform stand-ins of one test.
 
     Attributes
     ----------
     store_listeners : dict of str to StoreListener
-        The store's address for each node.
+        Listener of the store for each node, by the name of the node.
     started : list of EntryProcess
-        All processes of the test, those that were replaced included.
+        All processes that were started, including those replaced since.
     linked : bool
-        Whether links that a test can cut lie before the store's doors and the
-        endpoints.
+        Whether nodes reach the store and the endpoints through links, with which a
+        test can simulate network faults.
     links : dict of str to Link
-        Those links, by the name of the node or of the endpoint.
+        These links, by the name of the node or of the endpoint.
     """
 
     store: StoreStandIn
@@ -210,62 +225,62 @@
     links: dict[str, Link] = field(default_factory=dict)
     _settings: dict[str, EntrySettings] = field(default_factory=dict)
     _tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    _ports: dict[str, str] = field(default_factory=dict)
+    _listener_ports: dict[str, str] = field(default_factory=dict)
     _recoveries: list[asyncio.Task[None]] = field(default_factory=list)
-    _requests: count[int] = field(default_factory=lambda: count(1))
+    _sequence_numbers: count[int] = field(default_factory=lambda: count(1))
 
     def delay_gossip(self, name: str, delay_s: float) -> None:
-        """Let datagrams to a node wait before it reads them, as in a busy link."""
+        """Delay the datagrams that a node receives, as a busy network link does."""
         gossip = self.nodes[name].gossip
-        read = type(gossip).datagram_received
+        receive = type(gossip).datagram_received
         loop = asyncio.get_running_loop()
 
-        def wait(data: bytes, addr: Any) -> None:
-            loop.call_later(delay_s, read, gossip, data, addr)
+        def receive_later(data: bytes, addr: Any) -> None:
+            loop.call_later(delay_s, receive, gossip, data, addr)
 
-        gossip.datagram_received = wait  # type: ignore[method-assign]
+        gossip.datagram_received = receive_later  # type: ignore[method-assign]
 
-    def _reach(self, name: str, address: str) -> str:
-        """Return the address by which nodes reach something."""
+    def _reachable_address(self, name: str, address: str) -> str:
+        """Return the address of the link to `address`, or `address` without links."""
         if not self.linked:
             return address
         if name not in self.links:
             self.links[name] = Link("127.0.0.1", address)
         return self.links[name].address
 
-    async def settings_of(
+    async def _build_settings(
         self, name: str, seeds: str = "", **changes: Any
     ) -> dict[str, Any]:
-        """Return a node's settings, with an address of the store of its own."""
-        host = loopback_host(next(_NUMBERS) % 250 + 1)
-        if not self._ports:
+        """Return a node's settings, and start a store listener for the node."""
+        host = loopback_host(next(_UNIQUE_NUMBERS) % 250 + 1)
+        if not self._listener_ports:
             names = ("callers", "readiness", "discovery", "control", "gossip")
             for listener in names:
-                self._ports[listener] = free_address(host).rsplit(":", 1)[1]
+                self._listener_ports[listener] = free_address(host).rsplit(":", 1)[1]
         store_listener = StoreListener(self.store, "127.0.0.1")
         await store_listener.start()
         self.store_listeners[name] = store_listener
         listeners: dict[str, Any] = {
             listener: f"{host}:{port}"
-            for listener, port in self._ports.items()
+            for listener, port in self._listener_ports.items()
             if listener != "gossip"
         }
-        listeners["gossip_port"] = int(self._ports["gossip"])
+        listeners["gossip_port"] = int(self._listener_ports["gossip"])
         return {
             "node": name,
             "failure_domain": "north",
             "listeners": listeners,
             "seeds": seeds,
             "platform": {
-                "store": self._reach(name, store_listener.address),
+                "store": self._reachable_address(name, store_listener.address),
                 "cloud": self.cloud.address,
             },
             "bounds": {"lease_ms": 300, "usage_window_s": 1, **changes},
         }
 
     async def add_node(self, name: str, seeds: str = "", **changes: Any) -> EntryNode:
-        """Start a node in this process; its bounds may be changed."""
-        value = await self.settings_of(name, seeds, **changes)
+        """Start a node in this process; `changes` replace fields of its bounds."""
+        value = await self._build_settings(name, seeds, **changes)
         settings = EntrySettings.model_validate(value)
         self._settings[name] = settings
         node = EntryNode.from_settings(settings)
@@ -277,8 +292,8 @@
     async def start_process(
         self, name: str, folder: Path, seeds: str = "", **changes: Any
     ) -> EntryProcess:
-        """Start a node as a process of its own, with a settings file."""
-        value = await self.settings_of(name, seeds, **changes)
+        """Start a node as a separate process, and wait until it is ready."""
+        value = await self._build_settings(name, seeds, **changes)
         self._settings[name] = EntrySettings.model_validate(value)
         path = folder / f"{name}.json"
         path.write_bytes(orjson.dumps(value))
@@ -287,14 +302,14 @@
         return started
 
     async def start_processes(self, names: str, folder: Path) -> None:
-        """Start nodes as processes that have the first one as their seed."""
+        """Start nodes as processes; the first one is the seed of the others."""
         seed = ""
         for name in names:
             await self.start_process(name, folder, seed)
             seed = seed or ":".join(map(str, self.address(name, "control")))
 
     async def kill_and_restart_process(self, name: str) -> None:
-        """Kill a node's process, and wait until another one of it serves."""
+        """Kill a node's process, start another, and wait until it is ready."""
         killed = self.processes[name]
         await killed.kill()
         restarted = await self.run_process(name, killed.path)
@@ -302,30 +317,30 @@
             lambda: "ready" in restarted.messages(), "restarted node ready"
         )
 
-    async def run_process(self, name: str, settings: Path) -> EntryProcess:
-        """Run a node's process with a settings file; its log is started anew."""
-        output = settings.with_suffix(f".{next(_NUMBERS)}.log")
-        with output.open("wb") as stream:
+    async def run_process(self, name: str, settings_path: Path) -> EntryProcess:
+        """Run a node's process with a settings file and a new log file."""
+        output = settings_path.with_suffix(f".{next(_UNIQUE_NUMBERS)}.log")
+        with output.open("wb") as log_file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "poplarrelay.entry",
                 "--settings",
-                str(settings),
-                stdout=stream,
-                stderr=stream,
+                str(settings_path),
+                stdout=log_file,
+                stderr=log_file,
             )
-        started = EntryProcess(process, settings, output)
+        started = EntryProcess(process, settings_path, output)
         self.started.append(started)
         self.processes[name] = started
         return started
 
     async def end_node(self, name: str) -> None:
-        """Wait until a node that was told to stop has ended."""
+        """Wait until a node that is stopping has ended."""
         await self._tasks[name]
 
     async def kill_node(self, name: str) -> None:
-        """End a node without any farewell."""
+        """End a node abruptly; it sends nothing to its peers."""
         task = self._tasks.pop(name)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -334,7 +349,7 @@
     async def add_runner(
         self, name: str, service: str, port: int = 0, **options: Any
     ) -> RunnerStandIn:
-        """Start an endpoint and list it; port 0 stands for any free one."""
+        """Start an endpoint and write its record; port 0 picks a free port."""
         if service == STREAMS:
             options.setdefault("events", 5)
         runner = RunnerStandIn(name, "127.0.0.1", **options)
@@ -344,22 +359,23 @@
         return runner
 
     async def restart_runner(self, name: str, service: str) -> RunnerStandIn:
-        """End an endpoint's run, and start another under its id and at its address."""
-        before = self.runners[name]
-        port = int(before.address.rsplit(":", 1)[1])
-        before.stop()
-        again = RunnerStandIn(
-            name, before.host, events=before.events, pause_s=before.pause_s
+        """Stop an endpoint, and start a new run with the same id and address."""
+        previous = self.runners[name]
+        port = int(previous.address.rsplit(":", 1)[1])
+        previous.stop()
+        restarted = RunnerStandIn(
+            name, previous.host, events=previous.events, pause_s=previous.pause_s
         )
-        await again.start(port)
-        self.runners[name] = again
+        await restarted.start(port)
+        self.runners[name] = restarted
         self.list_runner(name, service, born=time.time_ns() // 1_000_000)
-        return again
+        return restarted
 
     def crash_on(self, name: str, service: str, body: bytes, recovery_s: float) -> None:
-        """Let requests with a body crash an endpoint, which restarts after that.
+        """Make an endpoint crash on requests with the given body, and then restart.
 
-        Each run has the same address and a new id.
+        Each run has the same address and a new id. `recovery_s` is the time in seconds
+        between a crash and the next run.
         """
         runner = self.runners[name]
         runner.crash_bodies = {body}
@@ -368,15 +384,15 @@
         async def recover() -> None:
             await asyncio.sleep(recovery_s)
             self.unlist_runner(name)
-            again = f"{name.partition('.')[0]}.{next(_NUMBERS)}"
+            next_name = f"{name.partition('.')[0]}.{next(_UNIQUE_NUMBERS)}"
             await self.add_runner(
-                again,
+                next_name,
                 service,
                 port=port,
                 events=runner.events,
                 pause_s=runner.pause_s,
             )
-            self.crash_on(again, service, body, recovery_s)
+            self.crash_on(next_name, service, body, recovery_s)
 
         def start_recovery() -> None:
             self._recoveries.append(asyncio.create_task(recover()))
@@ -395,27 +411,27 @@
         slots: int = 8,
         **more: Any,
     ) -> None:
-        """Write an endpoint's record, with more fields or others."""
+        """Write an endpoint's record; `more` adds or replaces fields."""
         record = {
             "service": service,
-            "address": self._reach(name, self.runners[name].address),
+            "address": self._reachable_address(name, self.runners[name].address),
             "zone": "north",
             "version": "1",
             "slots": slots,
             "state": state,
             "coldRemainingMs": 0,
-            "sequence": next(self._requests),
+            "sequence": next(self._sequence_numbers),
             **more,
         }
         self.store.put("keyed.servers", name, record)
 
     def configure(self, version: int, **changes: Any) -> None:
-        """Write a configuration."""
+        """Write a configuration to the store; `changes` replace top-level fields."""
         value = entry_configuration(version, **changes)
         self.store.put("keyed.op", "config", value)
 
     async def ready(self, name: str = "a", endpoints: int = 0) -> None:
-        """Wait until a node serves and knows a number of endpoints."""
+        """Wait until a node is ready and lists at least `endpoints` endpoints."""
         state = self.nodes[name].state
         await poll_until(lambda: state.ready, "node ready")
         await poll_until(
@@ -423,13 +439,17 @@
         )
 
     def address(self, name: str = "a", listener: str = "callers") -> tuple[str, int]:
-        """Return an address of a node."""
+        """Return the address of one of a node's listeners."""
         listeners = self._settings[name].listeners
         return parse_address(getattr(listeners, listener))
 
     def headers(self, **more: str) -> Headers:
-        """Return the headers of a caller's request."""
-        number = next(self._requests)
+        """Return the headers of a caller's request.
+
+        `more` adds or replaces headers, with underscores for hyphens in their names. An
+        empty value removes the header.
+        """
+        number = next(self._sequence_numbers)
         headers: Headers = [
             (b"Host", HOST.encode()),
             (b"X-Poplarrelay-Attempt-Id", f"attempt-{number}".encode()),
@@ -446,7 +466,7 @@
     async def open(
         self, path: str, node: str = "a", body: bytes = b"", **more: str
     ) -> Connection:
-        """Send a request on a new connection."""
+        """Send a request on a new connection, and return the connection."""
         connection = await Connection.open(*self.address(node), 2.0)
         headers = self.headers(**more)
         if body:
@@ -457,26 +477,26 @@
     async def call(
         self, path: str, node: str = "a", body: bytes = b"", **more: str
     ) -> WholeResponse:
-        """Send a request and return its whole answer."""
+        """Send a request on a new connection, and return the complete response."""
         connection = await self.open(path, node, body, **more)
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(CONDITION_TIMEOUT_S):
                 return await connection.whole_response(1_000_000)
         finally:
             connection.abort()
 
     async def get(self, listener: str, path: str, node: str = "a") -> WholeResponse:
-        """Ask one of a node's other listeners."""
+        """Send a GET request to one of a node's listeners, and return the response."""
         connection = await Connection.open(*self.address(node, listener), 2.0)
         connection.send(b"GET", path.encode(), [(b"Host", b"node")], b"")
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(CONDITION_TIMEOUT_S):
                 return await connection.whole_response(1_000_000)
         finally:
             connection.abort()
 
     async def stop(self) -> None:
-        """End everything."""
+        """End all tasks, nodes, processes, endpoints, listeners and links."""
         tasks = [*self._tasks.values(), *self._recoveries]
         for task in tasks:
             task.cancel()
@@ -496,7 +516,7 @@
 
 @contextlib.asynccontextmanager
 async def run_entry_site(nodes: int = 1, **changes: Any) -> AsyncIterator[EntrySite]:
-    """Run a site with a configuration and some nodes, and end it."""
+    """Run a site with the example configuration and some nodes, and stop it on exit."""
     site = EntrySite(StoreStandIn(), CloudStandIn("127.0.0.1"))
     await site.cloud.start()
     site.configure(1)
@@ -511,24 +531,24 @@
 
 
 async def read_head(connection: Connection) -> ResponseHead:
-    """Return the head of an answer, within the test's patience."""
-    async with asyncio.timeout(PATIENCE_S):
+    """Return the head of a response, or raise `TimeoutError`."""
+    async with asyncio.timeout(CONDITION_TIMEOUT_S):
         return await connection.response_head()
 
 
 def hosts(site: EntrySite, *names: str) -> set[str]:
-    """Return the hosts of nodes."""
+    """Return the hosts of the named nodes."""
     return {site.nodes[name].state.me.host for name in names}
 
 
 async def resolve_hosts(site: EntrySite, node: str) -> set[str]:
-    """Return the hosts that a node names to callers."""
+    """Return the hosts that a node's discovery listener lists."""
     answer = await site.get("discovery", "/api/resolve?name=x", node)
     return {address.split(":")[0] for address in orjson.loads(answer.body)["addresses"]}
 
 
 async def wait_until_resolved(site: EntrySite, node: str, expected: set[str]) -> None:
-    """Wait until a node names just these hosts to callers."""
-    async with asyncio.timeout(NAMED_S):
+    """Wait until a node's discovery listener lists exactly the expected hosts."""
+    async with asyncio.timeout(RESOLVE_TIMEOUT_S):
         while await resolve_hosts(site, node) != expected:
             await asyncio.sleep(0.02)
--- a/poplarrelay/testing/fakes.py
+++ b/poplarrelay/testing/fakes.py
@@ -1,8 +1,7 @@
-"""Fakes at the interfaces: worlds that talk without processes, clocks or sockets.
+"""Simulated system of worlds that needs no processes, clocks or sockets.
 
-Nothing happens by itself. Every effect that leaves a world becomes an action, and
-the test decides when it is carried out, whether its answer is lost, and which node
-is frozen, crashed or cut off meanwhile.
+Every effect that leaves a world becomes an action. The test decides when an action
+is performed, whether its reply is lost, and when a node is paused or crashes.
 """
 
 from __future__ import annotations
@@ -86,31 +85,49 @@
 
 
 class FakeLog:
-    """Streams in memory."""
+    """In-memory log that keeps the records of each stream.
+
+    Attributes
+    ----------
+    up : bool
+        Whether the log is available.
+    """
 
     def __init__(self) -> None:
         self.up = True
         self._streams: dict[StreamName, list[RecordValue]] = {}
 
     def append(self, stream: StreamName, value: RecordValue) -> None:
-        """Append a record."""
+        """Append a record to a stream."""
         self._streams.setdefault(stream, []).append(value)
 
     def read(self, stream: StreamName, start: int) -> RecordsRead:
-        """Return all records from an offset on."""
+        """Return all records of a stream at or after an offset."""
         values = self._streams.get(stream, [])
         records = tuple(
             Record(Offset(offset), value)
             for offset, value in enumerate(values)
             if offset >= start
         )
-        following = Offset(len(values))
-        return RecordsRead(stream, Offset(start), Offset(0), following, None, records)
+        next_offset = Offset(len(values))
+        return RecordsRead(stream, Offset(start), Offset(0), next_offset, None, records)
 
 
 @dataclass(slots=True)
 class Submission:
-    """A request as its caller sees it."""
+    """A request as its caller sees it.
+
+    Attributes
+    ----------
+    number : int
+        Serial number of the request.
+    key : str
+        Its idempotency key.
+    node : str
+        Name of the node that received it.
+    outcomes : list of Outcome
+        Outcomes that the caller has received.
+    """
 
     number: int
     key: str
@@ -124,12 +141,18 @@
 
     Attributes
     ----------
+    home : str
+        Name of the node that owns the request.
+    repeatable : bool
+        Whether the request can run more than once.
     accepted : bool
-        Whether the caller has its id.
+        Whether the caller has received the id.
     copied : bool
-        Whether a peer had confirmed a copy by then.
+        Whether a peer had confirmed a copy when the request was accepted.
     told : str or None
-        The outcome that the caller has fetched.
+        Tag of the outcome that the caller has fetched.
+    runs : int
+        Number of runs at the service.
     """
 
     id: RequestId
@@ -143,7 +166,7 @@
 
 @dataclass(slots=True)
 class Action:
-    """An effect that has left a node and has not been carried out yet."""
+    """An effect that has left a node and has not been performed yet."""
 
     node: FakeNode
     effect: Effect
@@ -152,7 +175,19 @@
 
 @dataclass(slots=True)
 class FakeNode:
-    """A world and whether its process runs."""
+    """A world and the state of its process.
+
+    Attributes
+    ----------
+    inbox : list of Message
+        Messages for the next tick.
+    unread : list of RequestArrived
+        Requests that have arrived since the process was paused.
+    frozen_at : float or None
+        Time at which the process was paused, None while it runs.
+    dead : bool
+        Whether the process has ended.
+    """
 
     name: str
     world: World = field(repr=False)
@@ -163,25 +198,34 @@
 
     @property
     def frozen(self) -> bool:
-        """Return whether the process is stopped."""
+        """Return whether the process is paused."""
         return self.frozen_at is not None
 
     @property
     def answers(self) -> bool:
-        """Return whether it answers its peers."""
+        """Return whether the process runs, and so replies to its peers."""
         return not self.frozen and not self.dead
 
 
 class FakeSystem:
-    """Several nodes, a log, and a service that counts runs.
+    """Nodes, a log, and a service that counts runs.
 
     Attributes
     ----------
+    now : float
+        Simulated time in seconds.
+    actions : list of Action
+        Effects that have not been performed yet.
     runs : Counter of str
-        Runs at the service, by key.
+        Number of runs at the service, by key.
     forbidden : dict of str to int
-        By key, the newest presentation whose caller, or an earlier one's, was told
-        "not run"; none up to it may run any more.
+        Highest submission number that must not run any more, by key. When a caller
+        receives "not run", all submissions of the key up to then must not run.
+    violations : list of str
+        Violations of the rule that a key runs at most once, and never after a caller
+        has received "not run".
+    submissions, deferrals : dict
+        Requests of callers, by id.
     """
 
     def __init__(self, names: tuple[str, ...] = ("n1", "n2", "n3")) -> None:
@@ -195,45 +239,45 @@
         self.submissions: dict[RequestId, Submission] = {}
         self.answered = 0
         self.deferrals: dict[RequestId, Deferral] = {}
-        self._numbers = itertools.count(1)
-        self._incarnations = itertools.count(1)
-        self._calls = itertools.count(1)
+        self._request_numbers = itertools.count(1)
+        self._incarnation_numbers = itertools.count(1)
+        self._call_ids = itertools.count(1)
         self._replies: dict[int, object] = {}
         self._origins: dict[RequestId, tuple[FakeNode, RequestId]] = {}
         for name in names:
             self.start(name)
         self.introduce_all()
 
-    # -- life of nodes -----------------------------------------------------
+    # -- lifecycle of nodes ------------------------------------------------
 
     def start(self, name: str) -> None:
-        """Start a node's process, or start it again with a new incarnation."""
-        incarnation = f"{next(self._incarnations):08x}"
+        """Start or restart a node's process with a new incarnation."""
+        incarnation = f"{next(self._incarnation_numbers):08x}"
         index = int(name[1:])
         world = make_world(name, index, incarnation, self.now)
         self.nodes[name] = FakeNode(name, world)
 
     def introduce_all(self) -> None:
-        """Let all nodes that answer know each other."""
-        for one in self.nodes.values():
-            for other in self.nodes.values():
-                if one is not other and one.answers and other.answers:
-                    self.gossip(one, other)
-
-    def gossip(self, one: FakeNode, other: FakeNode) -> None:
-        """Let a node hear the newest of another, and all that it knows."""
-        merge_row(one.world, own_row(other.world, self.now), self.now)
-        for row in gossip_rows(other.world, full=True):
-            merge_row(one.world, row, self.now)
+        """Exchange gossip between all running nodes."""
+        for receiver in self.nodes.values():
+            for sender in self.nodes.values():
+                if receiver is not sender and receiver.answers and sender.answers:
+                    self.gossip(receiver, sender)
+
+    def gossip(self, receiver: FakeNode, sender: FakeNode) -> None:
+        """Merge the sender's own row and its other rows into the receiver's table."""
+        merge_row(receiver.world, own_row(sender.world, self.now), self.now)
+        for row in gossip_rows(sender.world, full=True):
+            merge_row(receiver.world, row, self.now)
 
     def crash(self, name: str) -> None:
-        """End a process without any order."""
+        """End a process abruptly, and discard its actions."""
         node = self.nodes[name]
         node.dead = True
         self.actions = [action for action in self.actions if action.node is not node]
 
     def declare_dead(self, name: str) -> None:
-        """Let all other nodes take one for dead."""
+        """Mark a node as dead at all running nodes that have its row."""
         for node in self.nodes.values():
             member = node.world.members.get(self.nodes[name].world.node)
             if member is not None and node.answers:
@@ -241,18 +285,18 @@
                 member.changed_at = self.now
 
     def freeze(self, name: str) -> None:
-        """Stop a process; its sockets stay open."""
+        """Pause a process; its sockets stay open."""
         node = self.nodes[name]
         if not node.frozen:
             node.frozen_at = self.now
 
     def thaw(self, name: str) -> None:
-        """Let a process go on; it now reads what came meanwhile.
+        """Resume a process, which then reads the requests that arrived meanwhile.
 
         Notes
         -----
-        As the node's arrival clock has it, what is read then counts as having come
-        when the freeze began.
+        As with a node's arrival clock, these requests count as received at the
+        beginning of the pause.
         """
         node = self.nodes[name]
         if node.frozen_at is None:
@@ -264,21 +308,21 @@
 
     # -- callers -----------------------------------------------------------
 
-    def ticket(self, home: str, nonce: str) -> str:
-        """Return a ticket that a node runs."""
-        world = self.nodes[home].world
+    def ticket(self, owner: str, nonce: str) -> str:
+        """Return a ticket that a node owns."""
+        world = self.nodes[owner].world
         prefix = ticket_prefix(world.node, world.incarnation, world.epoch(self.now))
         return f"{prefix}.{nonce}"
 
     def submit(self, name: str, key: str, timeout_s: float = 8.0) -> Submission:
-        """Bring a booking to a node."""
+        """Send a booking to a node."""
         node = self.nodes[name]
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         submission = Submission(number, key, name)
         request = RequestId(f"r.{name}.{node.world.incarnation}.{number}")
         self.submissions[request] = submission
         work = Work(WorkKind.SERVICE, "booking", path="/confirm", fingerprint=key)
-        self._bring(
+        self._deliver_request(
             node,
             RequestArrived(
                 id=request,
@@ -295,9 +339,9 @@
     def defer(
         self, name: str, repeatable: bool = True, key: str | None = None
     ) -> Deferral:
-        """Bring a request whose answer is fetched later."""
+        """Send a deferred request to a node."""
         node = self.nodes[name]
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         request = RequestId(f"r.{name}.{node.world.incarnation}.{number}")
         self.deferrals[request] = Deferral(request, name, repeatable)
         method = "GET" if repeatable else "POST"
@@ -312,38 +356,38 @@
             key=None if key is None else IdempotencyKey(key),
             deferred=True,
         )
-        self._bring(node, arrived)
+        self._deliver_request(node, arrived)
         return self.deferrals[request]
 
     def look_up(self, name: str, deferral: Deferral) -> str:
-        """Ask a node what became of a deferred request, and return its word.
+        """Look up a deferred request at a node, as its caller does.
 
         Returns
         -------
-        word : str
-            An outcome's tag, or the value of a `SearchResult`.
+        result : str
+            Tag of the outcome, or the value of a `SearchResult`.
         """
-        found = self._ask(name, deferral.id, forwarded=False)
+        found = self._request_lookup(name, deferral.id, forwarded=False)
         if isinstance(found, LookupElsewhere):
-            return self._search(deferral, found)
-        return self._word(found)
+            return self._look_up_at_peers(deferral, found)
+        return self._describe_result(found)
 
-    def _search(self, deferral: Deferral, found: LookupElsewhere) -> str:
+    def _look_up_at_peers(self, deferral: Deferral, found: LookupElsewhere) -> str:
         copies, silent = False, set()
         for peer in found.peers:
-            node = self._at(peer)
+            node = self._node_at(peer)
             if node is None or not node.answers:
                 silent.add(peer)
                 continue
-            answer = self._ask(node.name, deferral.id, forwarded=True)
-            if isinstance(answer, LookupResult) and not answer.copy:
-                return self._word(answer)
-            copies = copies or isinstance(answer, LookupResult)
+            reply = self._request_lookup(node.name, deferral.id, forwarded=True)
+            if isinstance(reply, LookupResult) and not reply.copy:
+                return self._describe_result(reply)
+            copies = copies or isinstance(reply, LookupResult)
         return combine_search(found, copies, silent).value
 
-    def _ask(self, name: str, request: RequestId, forwarded: bool) -> object:
+    def _request_lookup(self, name: str, request: RequestId, forwarded: bool) -> object:
         node = self.nodes[name]
-        call = CallId(next(self._calls))
+        call = CallId(next(self._call_ids))
         token = hash_token(team_token(TEAM))
         team = TeamId(TEAM) if forwarded else None
         node.inbox.append(LookupAsked(call, token, request, team, forwarded))
@@ -351,7 +395,7 @@
         return self._replies.pop(call)
 
     @staticmethod
-    def _word(found: object) -> str:
+    def _describe_result(found: object) -> str:
         if not isinstance(found, LookupResult):
             return SearchResult.ABSENT.value
         if found.outcome is None:
@@ -359,13 +403,13 @@
         return outcome_tag(found.outcome)
 
     @staticmethod
-    def _bring(node: FakeNode, arrived: RequestArrived) -> None:
+    def _deliver_request(node: FakeNode, arrived: RequestArrived) -> None:
         (node.unread if node.frozen else node.inbox).append(arrived)
 
     # -- time --------------------------------------------------------------
 
     def tick(self, name: str) -> None:
-        """Run a node's systems once."""
+        """Run one tick of a node, if its process runs."""
         node = self.nodes[name]
         if not node.answers:
             return
@@ -374,15 +418,15 @@
             RecordsRead(CONFIGURATION, Offset(2), Offset(0), Offset(2), None, ())
         )
         for effect in run_tick(node.world, Inbox(messages), self.now):
-            self._take(node, effect)
+            self._handle_effect(node, effect)
 
     def tick_all(self) -> None:
-        """Run the systems of every node."""
+        """Run one tick of every node."""
         for name in self.nodes:
             self.tick(name)
 
     def read_log(self, name: str) -> None:
-        """Let a node read its claims, or fail to."""
+        """Deliver the next claim records to a node, or a failure if the log is down."""
         node = self.nodes[name]
         if not node.answers:
             return
@@ -393,24 +437,24 @@
         node.inbox.append(self.log.read(CLAIMS, position.next))
 
     def perform_all(self, kind: type, lost: bool = False) -> None:
-        """Carry out all actions of a kind, once each."""
+        """Perform each action whose effect is of a kind once."""
         for action in [a for a in self.actions if isinstance(a.effect, kind)]:
             self.perform(action, lost)
 
     def leave(self, name: str, within_s: float) -> None:
-        """Tell a node to leave."""
+        """Order a node to shut down within some seconds."""
         self.nodes[name].inbox.append(ShutdownAsked(within_s))
 
     # -- effects -----------------------------------------------------------
 
-    def _take(self, node: FakeNode, effect: Effect) -> None:
+    def _handle_effect(self, node: FakeNode, effect: Effect) -> None:
         match effect:
             case Reply():
                 self._replies[effect.call] = effect.value
             case EndRequest():
-                self._conclude(node, effect)
+                self._record_outcome(node, effect)
             case AcceptDeferred():
-                self._accept(node, effect)
+                self._record_acceptance(node, effect)
             case RejectRequest():
                 self._origins.pop(effect.request, None)
             case StopProcess():
@@ -427,42 +471,42 @@
             ):
                 self.actions.append(Action(node, effect))
 
-    def _conclude(self, node: FakeNode, effect: EndRequest) -> None:
+    def _record_outcome(self, node: FakeNode, effect: EndRequest) -> None:
         origin = self._origins.pop(effect.request, None)
         if origin is not None:
-            asker, request = origin
+            forwarder, request = origin
             reply = KeyReply(state="finished", outcome=encode_outcome(effect.outcome))
-            asker.inbox.append(ForwardAnswered(request, True, reply))
+            forwarder.inbox.append(ForwardAnswered(request, True, reply))
             return
         submission = self.submissions.get(effect.request)
         if submission is None:
             return
         submission.outcomes.append(effect.outcome)
         if isinstance(effect.outcome, NotRun):
-            self._told_not_run(submission)
+            self._record_not_run(submission)
 
-    def _accept(self, node: FakeNode, effect: AcceptDeferred) -> None:
+    def _record_acceptance(self, node: FakeNode, effect: AcceptDeferred) -> None:
         deferral = self.deferrals[effect.request]
         deferral.accepted = True
         copy = node.world.sent_copies[effect.request]
         deferral.copied = copy.holder is not None
 
-    def _told_not_run(self, submission: Submission) -> None:
+    def _record_not_run(self, submission: Submission) -> None:
         key = submission.key
         if self.runs[key]:
-            self.violations.append(f"{key}: told not run after it ran")
+            self.violations.append(f"{key}: reported as not run after it ran")
         newest = max(p.number for p in self.submissions.values() if p.key == key)
         self.forbidden[key] = max(self.forbidden.get(key, 0), newest)
 
     def perform(self, action: Action, lost: bool = False) -> None:
-        """Carry out an action.
+        """Perform an action, unless its node is paused.
 
         Parameters
         ----------
         action : Action
-            One of `actions`; it is taken off unless it will be sent again.
+            One of `actions`. It is removed, except an append that the node retries.
         lost : bool
-            Whether its answer is lost.
+            Whether the reply is lost.
         """
         if action.node.frozen:
             return
@@ -478,7 +522,7 @@
             case ForwardRequest():
                 self._forward(action.node, effect, lost)
             case RunAttempt():
-                self._run(action.node, effect, lost)
+                self._run_attempt(action.node, effect, lost)
             case SendHandover():
                 self._send_handover(action.node, effect, lost)
             case StoreCopy():
@@ -495,26 +539,26 @@
             action.node.inbox.append(LogFailed(effect.stream))
             self.actions.append(action)
 
-    def _at(self, peer: str) -> FakeNode | None:
+    def _node_at(self, peer: str) -> FakeNode | None:
         for node in self.nodes.values():
             if node.world.me.peers == peer:
                 return node
         return None
 
-    def _call(self, peer: str, make) -> object | None:  # type: ignore[no-untyped-def]
-        """Call a peer; a frozen one finds the call when it is thawed."""
-        node = self._at(peer)
+    def _call(self, peer: str, make_message) -> object | None:  # type: ignore[no-untyped-def]
+        """Call a peer and return its reply; a paused peer reads the call later."""
+        node = self._node_at(peer)
         if node is None or node.dead:
             return None
-        call = CallId(next(self._calls))
-        node.inbox.append(make(call))
+        call = CallId(next(self._call_ids))
+        node.inbox.append(make_message(call))
         self.tick(node.name)
         return self._replies.pop(call, None)
 
     def _query_key(self, node: FakeNode, effect: QueryKey, lost: bool) -> None:
         reply = self._call(effect.peer, lambda call: KeyQueried(call, effect.query))
-        answer = reply if isinstance(reply, KeyReply) and not lost else None
-        node.inbox.append(KeyAnswered(effect.request, answer))
+        received = reply if isinstance(reply, KeyReply) and not lost else None
+        node.inbox.append(KeyAnswered(effect.request, received))
 
     def _query_all_peers(
         self, node: FakeNode, effect: QueryAllPeers, lost: bool
@@ -529,22 +573,24 @@
         node.inbox.append(AllPeersAnswered(effect.request, absent))
 
     def _forward(self, node: FakeNode, effect: ForwardRequest, lost: bool) -> None:
-        home = self._at(effect.peer)
+        owner = self._node_at(effect.peer)
         unanswered = ForwardAnswered(effect.request, False)
-        if home is None or home.dead:
+        if owner is None or owner.dead:
             node.inbox.append(unanswered)
             return
         stored = effect.stored
-        request = RequestId(f"{effect.request}~{next(self._calls)}")
+        request = RequestId(f"{effect.request}~{next(self._call_ids)}")
         origin = self.submissions.get(effect.request)
         if origin is not None:
-            self.submissions[request] = Submission(origin.number, origin.key, home.name)
-        if home.frozen or lost:
+            self.submissions[request] = Submission(
+                origin.number, origin.key, owner.name
+            )
+        if owner.frozen or lost:
             node.inbox.append(unanswered)
         else:
             self._origins[request] = (node, effect.request)
-        self._bring(
-            home,
+        self._deliver_request(
+            owner,
             RequestArrived(
                 id=request,
                 token_sha256="",
@@ -560,7 +606,7 @@
             ),
         )
 
-    def _run(self, node: FakeNode, effect: RunAttempt, lost: bool) -> None:
+    def _run_attempt(self, node: FakeNode, effect: RunAttempt, lost: bool) -> None:
         attempt = effect.attempt
         if self.now >= attempt.deadline:
             result = AttemptResult.NOT_STARTED
@@ -570,23 +616,23 @@
         if deferral is not None:
             deferral.runs += 1
         else:
-            self._note_run(self.submissions[attempt.request])
+            self._record_run(self.submissions[attempt.request])
         result = AttemptResult.BROKEN if lost else AttemptResult.FINISHED
         answer = None if lost else ServiceAnswer(200, "text/plain", b"confirmed")
         node.inbox.append(
             AttemptEnded(attempt.request, attempt.id, result, service=answer)
         )
 
-    def _note_run(self, submission: Submission) -> None:
+    def _record_run(self, submission: Submission) -> None:
         key = submission.key
         self.runs[key] += 1
         if self.runs[key] > 1:
             self.violations.append(f"{key}: ran {self.runs[key]} times")
         if submission.number <= self.forbidden.get(key, 0):
-            self.violations.append(f"{key}: ran after it was told not run")
+            self.violations.append(f"{key}: ran after it was reported as not run")
 
     def refuse_attempt(self, action: Action) -> None:
-        """Let the endpoint refuse an attempt before it starts."""
+        """Perform an attempt that the endpoint refuses before it starts."""
         self.actions.remove(action)
         assert isinstance(action.effect, RunAttempt)
         attempt = action.effect.attempt
@@ -596,26 +642,26 @@
     def _send_handover(self, node: FakeNode, effect: SendHandover, lost: bool) -> None:
         message = effect.message
         reply = self._call(effect.peer, lambda call: HandoverReceived(call, message))
-        answer = reply if isinstance(reply, HandoverReply) and not lost else None
-        node.inbox.append(HandoverAnswered(effect.node, message.id, answer))
+        received = reply if isinstance(reply, HandoverReply) and not lost else None
+        node.inbox.append(HandoverAnswered(effect.node, message.id, received))
 
     def _store_copy(self, node: FakeNode, effect: StoreCopy, lost: bool) -> None:
         message = effect.message
         reply = self._call(effect.peer, lambda call: CopyReceived(call, message))
-        answer = reply if isinstance(reply, CopyReply) and not lost else None
-        node.inbox.append(CopyAnswered(effect.request, answer))
+        received = reply if isinstance(reply, CopyReply) and not lost else None
+        node.inbox.append(CopyAnswered(effect.request, received))
 
     def _query_copies(self, node: FakeNode, effect: QueryCopies, lost: bool) -> None:
         query = effect.query
         reply = self._call(effect.peer, lambda call: CopiesQueried(call, query))
-        answer = reply if isinstance(reply, CopyStatuses) and not lost else None
+        received = reply if isinstance(reply, CopyStatuses) and not lost else None
         requests = tuple(RequestId(request) for request in query.requests)
-        node.inbox.append(CopiesAnswered(effect.node, requests, answer))
+        node.inbox.append(CopiesAnswered(effect.node, requests, received))
 
-    # -- running on --------------------------------------------------------
+    # -- running until idle ------------------------------------------------
 
     def settle(self, rounds: int = 40) -> None:
-        """Carry out everything that waits, round by round."""
+        """Read the log, run ticks and perform all actions for a number of rounds."""
         for _ in range(rounds):
             for name in self.nodes:
                 self.read_log(name)
--- a/poplarrelay/testing/links.py
+++ b/poplarrelay/testing/links.py
@@ -1,4 +1,4 @@
-"""A link between two processes that a test can cut."""
+"""TCP proxy between two processes, with which tests simulate network faults."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 _READ_BYTES = 65_536
 _POLL_S = 0.05
-#: Seconds for which a delayed link holds each part of what passes.
+#: Seconds by which a delayed link holds back each chunk that it has read.
 DELAY_S = 0.3
-#: Makes a socket reset its connection when it is closed.
+#: Value of SO_LINGER with which closing a socket resets its connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class LinkState(Enum):
-    """What passes a link.
+    """How a link treats connections and their data.
 
     WHOLE
-        Everything.
+        The link forwards all data.
     CUT
-        Nothing: connections are refused, open ones are closed.
+        The link closes new and open connections.
     ONE_WAY
-        Calls pass and answers do not, so that the caller sees a timeout although
-        the call took effect.
+        The link forwards requests and drops responses. The caller sees a timeout
+        although its request took effect.
     SILENT
-        Nothing: connections open and stay open, and what they carry is lost.
+        The link accepts connections, keeps them open and drops all data.
     DELAYED
-        Everything, late.
+        The link forwards all data after a delay.
     """
 
     WHOLE = "whole"
@@ -44,14 +44,14 @@
 
 
 class Link:
-    """Passes TCP connections on to a target.
+    """TCP proxy that forwards connections to a target.
 
     Parameters
     ----------
     host : str
-        IP number to listen on.
+        IP address to listen on.
     target : str
-        ``host:port`` to pass on to.
+        ``host:port`` to connect to.
     """
 
     def __init__(self, host: str, target: str) -> None:
@@ -64,20 +64,20 @@
 
     @property
     def address(self) -> str:
-        """Return ``host:port`` of the link."""
+        """Return the ``host:port`` that the link listens on."""
         host, port = self._listener.getsockname()[:2]
         return f"{host}:{port}"
 
     def set(self, state: LinkState) -> None:
-        """Change what passes, also on open connections."""
+        """Change the state; open connections follow it too."""
         self._state = state
 
     def reset(self) -> None:
-        """Reset the connections that are open now."""
+        """Reset all connections that are open now."""
         self._resets += 1
 
     def stop(self) -> None:
-        """Close the link."""
+        """Stop listening, and close all connections."""
         self._stopping = True
         self._listener.close()
 
@@ -91,10 +91,10 @@
                 connection.close()
                 continue
             threading.Thread(
-                target=self._pass_on, args=(connection,), daemon=True
+                target=self._forward, args=(connection,), daemon=True
             ).start()
 
-    def _pass_on(self, caller: socket.socket) -> None:
+    def _forward(self, caller: socket.socket) -> None:
         host, port = self._target.split(":")
         try:
             target = socket.create_connection((host, int(port)), timeout=2.0)
@@ -111,8 +111,8 @@
             resets = self._resets
             while not self._stopping and self._state is not LinkState.CUT:
                 if self._resets != resets:
-                    for end in (caller, target):
-                        end.setsockopt(
+                    for connection in (caller, target):
+                        connection.setsockopt(
                             socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
                         )
                     return
@@ -122,13 +122,13 @@
                     content = source.recv(_READ_BYTES)
                     if not content:
                         return
-                    if not self._loses(answer=source is target):
+                    if not self._drops(response=source is target):
                         key.data.sendall(content)
 
-    def _loses(self, answer: bool) -> bool:
-        """Return whether what has just been read is lost, after holding it."""
+    def _drops(self, response: bool) -> bool:
+        """Wait if the link is delayed, and return whether to drop the data read."""
         if self._state is LinkState.DELAYED:
             time.sleep(DELAY_S)
         if self._state is LinkState.SILENT:
             return True
-        return answer and self._state is LinkState.ONE_WAY
+        return response and self._state is LinkState.ONE_WAY
--- a/poplarrelay/testing/network.py
+++ b/poplarrelay/testing/network.py
@@ -1,4 +1,4 @@
-"""Entry nodes' tables and datagrams over a path in memory, for tests and benches."""
+"""Gossip of entry nodes over an in-memory network, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -17,45 +17,55 @@
 
 __all__ = ["USE_PER_S", "Network"]
 
-#: Teams in use, as on a large site, and endpoints that a node has requests at.
+#: Teams of a large site.
 TEAMS = 19
+#: Endpoints of the site, and those at which one node has requests running.
 ENDPOINTS, BUSY_ENDPOINTS = 45, 4
-#: Tokens a second that each node uses of each team.
+#: Tokens per second that each team uses at each node.
 USE_PER_S = 1_000.0
+#: Nodes that every node knows from the start.
 SEEDS = 3
 
 
-class Quiet:
-    """A clock that takes no readings."""
+class FixedClock:
+    """A cluster clock that ignores the clocks of peers."""
 
     own = 1_764_720_000.0
 
     def receive(self, *args: object) -> None:
-        """Take nothing."""
+        """Ignore a peer's clock."""
 
 
 @dataclass(slots=True)
-class Wire:
-    """A node's end of the path."""
+class InMemoryTransport:
+    """Datagram transport of one node."""
 
     network: Network
     host: str
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram, or lose it."""
+        """Send a datagram, which the network can lose."""
         self.network.send(self.host, address[0], data)
 
 
 @dataclass(slots=True)
 class Network:
-    """All nodes, and the datagrams between them.
+    """All nodes and the datagrams between them.
 
     Attributes
     ----------
+    count : int
+        Number of nodes at the start.
     loss : float
-        Part of all datagrams that is lost.
+        Fraction of the datagrams that are lost.
+    now : float
+        Simulated time in seconds.
+    nodes, tables, crashes : dict
+        Gossip, peer table and crash table of each node, by host.
+    dead : set of str
+        Hosts of the nodes that have ended.
     rounds_lost : bool
-        Whether all datagrams are lost but questions for a row and their answers.
+        Whether to lose all datagrams except requests for a row and their replies.
     """
 
     count: int
@@ -69,12 +79,12 @@
     rng: Random = field(default_factory=Random)
     rounds_lost: bool = False
     _queue: list[tuple[str, str, bytes]] = field(default_factory=list)
-    _answering: bool = False
-    _due: dict[str, float] = field(default_factory=dict)
+    _replying: bool = False
+    _next_round_at: dict[str, float] = field(default_factory=dict)
 
     @classmethod
     def starting(cls, count: int, loss: float, seed: int) -> Network:
-        """Return nodes that know three seeds and nobody else."""
+        """Return a network in which each node knows only three seeds."""
         network = cls(count, loss, seed, rng=Random(seed))
         for index in range(count):
             network.add_node(index)
@@ -86,72 +96,78 @@
         table = PeerTable(row)
         node = Gossip(
             table,
-            Quiet(),  # type: ignore[arg-type]
+            FixedClock(),  # type: ignore[arg-type]
             lambda row: None,
             lambda: self.now,
             Random(self.seed * 1000 + index),
         )
-        node._transport = Wire(self, row.host)  # type: ignore[assignment]
+        node._transport = InMemoryTransport(self, row.host)  # type: ignore[assignment]
         self.nodes[row.host] = node
         self.tables[row.host] = table
         self.crashes[row.host] = CrashTable()
         node.attach_crashes(self.crashes[row.host])
-        self._due[row.host] = self.now + GOSSIP_S * self.rng.random()
+        self._next_round_at[row.host] = self.now + GOSSIP_S * self.rng.random()
         return row.host
 
     @property
     def alive(self) -> list[str]:
-        """Return the hosts of the nodes that run."""
+        """Return the hosts of the running nodes."""
         return [host for host in self.nodes if host not in self.dead]
 
     def send(self, sender: str, target: str, data: bytes) -> None:
-        """Take a datagram on its way, unless it is lost."""
-        if self.rounds_lost and not self._answering and b"ask" not in decompress(data):
+        """Queue a datagram for the next step unless it is lost."""
+        if self.rounds_lost and not self._replying and b"ask" not in decompress(data):
             return
         if self.rng.random() >= self.loss:
             self._queue.append((target, sender, data))
 
     def step(self) -> None:
-        """Let a tick pass: datagrams arrive, and rounds that are due are run."""
+        """Advance time by a tick, deliver datagrams and run the rounds that are due."""
         self.now += TICK_S
         batch, self._queue = self._queue, []
         for target, sender, data in batch:
             if target in self.nodes and target not in self.dead:
-                self._answering = True
+                self._replying = True
                 self.nodes[target].datagram_received(data, (sender, 0))
-                self._answering = False
+                self._replying = False
         for host in self.alive:
             node = self.nodes[host]
-            if self.now >= self._due[host] or node.urgent:
-                self._due[host] = self.now + GOSSIP_S * (0.9 + 0.2 * self.rng.random())
-                self._round(host)
+            if self.now >= self._next_round_at[host] or node.urgent:
+                self._next_round_at[host] = self.now + GOSSIP_S * (
+                    0.9 + 0.2 * self.rng.random()
+                )
+                self._run_round(host)
             elif self.crashes[host].urgent:
                 node.send_crashes()
 
-    def _round(self, host: str) -> None:
+    def _run_round(self, host: str) -> None:
         table = self.tables[host]
         table.me.version += 1
-        use = USE_PER_S * (self.now - 1000.0)
-        table.me.spent = {team: use for team in table.me.spent}
+        used = USE_PER_S * (self.now - 1000.0)
+        table.me.spent = {team: used for team in table.me.spent}
         table.forget(self.now)
         table.regroup(self.count, self.now)
         self.nodes[host].run_round(list(self.nodes)[:SEEDS])
 
     def run(self, seconds: float) -> Iterator[None]:
-        """Let time pass, a tick at a time."""
+        """Advance time tick by tick, and yield after each tick."""
         for _ in range(round(seconds / TICK_S)):
             self.step()
             yield
 
     def count_false_deaths(self) -> tuple[int, int]:
-        """Return how many live nodes are not named by a live one, and all pairs."""
+        """Return how many live nodes other nodes do not list, and how many they should.
+
+        In a large network only every n-th node is checked, at least 20 in all. Both
+        numbers are sums over the checked nodes.
+        """
         alive = set(self.alive)
-        wrong = pairs = 0
+        missing = pairs = 0
         for host in self.alive[:: max(1, self.count // 20)]:
             seen = {row.host for row in self.tables[host].alive(self.now)}
-            wrong += len(alive - seen - {host})
+            missing += len(alive - seen - {host})
             pairs += len(alive) - 1
-        return wrong, pairs
+        return missing, pairs
 
 
 def _row(index: int, rng: Random) -> PeerRow:
--- a/poplarrelay/testing/permits.py
+++ b/poplarrelay/testing/permits.py
@@ -1,4 +1,4 @@
-"""In-memory network of nodes that share an endpoint's limit, for tests."""
+"""In-memory network of nodes that share an endpoint's request limit, for tests."""
 
 from __future__ import annotations
 
@@ -18,27 +18,31 @@
 
 ENDPOINT = EndpointId("e")
 STEP_S = 0.01
-#: Mean seconds until a node detects that others are dead or cut off.
+#: Mean seconds until a node detects that others are dead or unreachable.
 DETECTION_S = 1.5
 #: Seconds over which the requests at an endpoint are counted.
 WINDOW_S = 4.0
 
 
 def max_in_window(times: Sequence[float], start: float = -inf) -> int:
-    """Return the largest number of times within a window that begins after a start."""
-    late = [at for at in times if at >= start]
+    """Return the largest number of times in any window at or after `start`."""
+    counted = [at for at in times if at >= start]
     return max(
-        (sum(0 <= at - first < WINDOW_S for at in late) for first in late), default=0
+        (sum(0 <= at - first < WINDOW_S for at in counted) for first in counted),
+        default=0,
     )
 
 
 def allowed(per_s: float) -> float:
-    """Return the requests that an endpoint may get in a window."""
+    """Return the maximum number of requests in a window for a limit of `per_s`.
+
+    All nodes together can exceed the stated limit by half of it and 5 requests.
+    """
     return 1.5 * per_s * WINDOW_S + 5
 
 
 @dataclass(slots=True)
-class _Sender:
+class _NetworkSender:
     network: PermitNetwork
     host: str
 
@@ -60,7 +64,7 @@
     sent : dict of str to list of float
         Times at which each node sent requests to the endpoint.
     groups : list of set of str
-        Sets of hosts that reach each other; a single set unless cut off.
+        Partitions of the network: sets of hosts that can reach each other.
     """
 
     count: int
@@ -77,7 +81,7 @@
 
     @classmethod
     def starting(cls, count: int, loss: float = 0.0, seed: int = 1) -> PermitNetwork:
-        """Return a network of nodes that know each other and one endpoint."""
+        """Return a network of nodes that list each other and one endpoint."""
         network = cls(count, loss, Random(seed))
         hosts = [f"host-{number}" for number in range(count)]
         for host in hosts:
@@ -92,7 +96,7 @@
                 {ENDPOINT: row},
                 lambda host=host: {NodeId(h): h for h in network._live[host]},  # type: ignore[misc]
                 lambda host=host: network._shares(host),  # type: ignore[misc]
-                _Sender(network, host),
+                _NetworkSender(network, host),
                 lambda: network.now,
             )
         network.groups = [set(hosts)]
@@ -102,13 +106,13 @@
         return len(self._live[host]) / self.count, 1 / self.count
 
     def state_limit(self, host: str, per_s: float | None) -> None:
-        """Deliver an answer that states a limit, or none, to a node."""
+        """Give a node a response in which the endpoint states a limit, or none."""
         self.brokers[host].note_stated_limit(
             self.rows[host], StatedLimit(per_s), self.now
         )
 
     def partition_into(self, *groups: set[str]) -> None:
-        """Cut groups of hosts off from each other, detected by each node in turn."""
+        """Partition the network; each node detects this after a random delay."""
         self.groups = list(groups)
         for group in groups:
             for host in group:
@@ -116,13 +120,13 @@
                 self._detections.append((at, host, group))
 
     def send(self, sender: str, target: str, messages: list[list[Any]]) -> None:
-        """Queue messages for the next step unless they are lost or cut off."""
+        """Queue messages for the next step, unless they are lost or cannot arrive."""
         reachable = any({sender, target} <= group for group in self.groups)
         if reachable and self.rng.random() >= self.loss:
             self._queue.append((sender, target, messages))
 
     def run(self, seconds: float) -> Iterator[None]:
-        """Advance the clock in steps; each node sends as its permits allow."""
+        """Advance the clock in steps; each node sends when it has a permit."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             for entry in [e for e in self._detections if e[0] <= self.now]:
--- a/poplarrelay/testing/prefill_simulation.py
+++ b/poplarrelay/testing/prefill_simulation.py
@@ -1,4 +1,4 @@
-"""Engines that read prompts one after the other, and nodes that place them, played."""
+"""Simulation of nodes and of engines that prefill one prompt at a time."""
 
 from __future__ import annotations
 
@@ -22,22 +22,27 @@
 
 __all__ = ["PrefillSimulation", "SimulatedPrompt"]
 
-#: Seconds between a prompt's first event and its last.
+#: Seconds between the first and the last event of a prompt.
 STREAM_S = 0.4
-#: Seconds between news of loads among the nodes.
-NEWS_S = 0.4
-#: Shared parts that prompts begin with, so many that most are read anew.
-PARTS = 1_000
-#: Seconds of a step of an engine, which each first event waits for.
+#: Seconds between the load reports that nodes exchange.
+LOAD_REPORT_INTERVAL_S = 0.4
+#: Number of shared parts that prompts begin with. It is so large that most prompts
+#: find their shared part uncached.
+SHARED_PARTS = 1_000
+#: Seconds per step of an engine. Each first event waits for one step.
 STEP_S = 0.004
 
 
 @dataclass(frozen=True, slots=True)
 class SimulatedPrompt:
-    """What became of a prompt.
+    """Result of one prompt.
 
     Attributes
     ----------
+    at : float
+        Time at which the prompt arrived.
+    tokens : int
+        Length of the prompt.
     wait_s : float or None
         Time to its first event, None if it was refused.
     """
@@ -56,17 +61,21 @@
 
 @dataclass(slots=True)
 class PrefillSimulation:
-    """Nodes in front of engines, in virtual time.
+    """Nodes that send prompts to engines, in simulated time.
 
     Attributes
     ----------
+    nodes : int
+        Number of nodes.
     speeds : tuple of float
-        Tokens a second that each engine reads.
+        Prefill rate of each engine in tokens per second.
     asks : bool
-        Whether nodes ask what is in line, or go by their own prompts and by loads
-        that are told now and then.
+        Whether nodes request the queued tokens of the engines from the coordinator.
+        If not, a node uses its own prompts and the load reports of the other nodes.
     admits : callable or None
-        Decides whether a prompt is sent where it was chosen to go.
+        Returns whether to send a prompt to the endpoint that was chosen for it.
+    simulated : list of SimulatedPrompt
+        Results, in the order of first events and refusals.
     """
 
     nodes: int
@@ -81,18 +90,20 @@
     _events: list[tuple[float, int, Callable[[float], None]]] = field(
         default_factory=list
     )
-    _number: count[int] = field(default_factory=count)
+    _sequence_numbers: count[int] = field(default_factory=count)
 
     def run(self, seconds: float, per_s: float, tokens: int, shared: int) -> None:
-        """Have prompts come for some time, and play it to its end.
+        """Simulate prompts that arrive for some time, until the last one has ended.
 
         Parameters
         ----------
+        seconds : float
+            Time in which prompts arrive.
         per_s : float
-            Prompts a second at all nodes.
+            Prompts per second at all nodes together.
         tokens, shared : int
-            Usual length of a prompt's own part and of its shared one; single ones
-            are up to six times as long.
+            Typical length of the unshared part of a prompt, and length of its shared
+            part. The unshared part can be up to six times as long.
         """
         rng = Random(self.seed)
         self._engines = {
@@ -102,82 +113,95 @@
         self._tables = [self._rows() for _ in range(self.nodes)]
         at = 0.0
         while (at := at + rng.expovariate(per_s)) < seconds:
-            own = round(tokens * min(6.0, rng.lognormvariate(-0.4, 0.9)))
-            part = PromptPart(f"part-{rng.randrange(PARTS)}", shared)
-            prompt = (part, PromptPart("own", own))
-            self._at(at, self._arrival(rng.randrange(self.nodes), prompt, rng))
-        for tick in range(round(seconds / NEWS_S)):
-            self._at(tick * NEWS_S, self._tell_loads)
+            own_tokens = round(tokens * min(6.0, rng.lognormvariate(-0.4, 0.9)))
+            shared_part = PromptPart(f"part-{rng.randrange(SHARED_PARTS)}", shared)
+            prompt = (shared_part, PromptPart("own", own_tokens))
+            self._schedule(
+                at, self._make_arrival(rng.randrange(self.nodes), prompt, rng)
+            )
+        for tick in range(round(seconds / LOAD_REPORT_INTERVAL_S)):
+            self._schedule(tick * LOAD_REPORT_INTERVAL_S, self._report_loads)
         while self._events:
             now, _, event = heapq.heappop(self._events)
             event(now)
 
     def _rows(self) -> list[Endpoint]:
         return [
-            Endpoint(e, ServiceName("llm"), ("127.0.0.1", 1), DomainId("d"), 64)
-            for e in self._engines
+            Endpoint(name, ServiceName("llm"), ("127.0.0.1", 1), DomainId("d"), 64)
+            for name in self._engines
         ]
 
-    def _at(self, at: float, event: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._number), event))
+    def _schedule(self, at: float, event: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._sequence_numbers), event))
 
-    def _tell_loads(self, now: float) -> None:
+    def _report_loads(self, now: float) -> None:
         for index, row in enumerate(self._tables[0]):
             total = sum(rows[index].running for rows in self._tables)
             for rows in self._tables:
                 rows[index].elsewhere = total - rows[index].running
             assert row.load == total
 
-    def _arrival(
+    def _make_arrival(
         self, node: int, prefix: tuple[PromptPart, ...], rng: Random
     ) -> Callable[[float], None]:
         def arrive(now: float) -> None:
             shared = prefix[0]
-            whole = sum(part.tokens for part in prefix)
+            total_tokens = sum(part.tokens for part in prefix)
             criteria = SelectionCriteria(
-                shared.part, whole, shared.tokens, (), DomainId("d")
+                shared.part, total_tokens, shared.tokens, (), DomainId("d")
             )
-            drawn = sample_candidates(self._tables[node], criteria, now, rng)
+            candidates = sample_candidates(self._tables[node], criteria, now, rng)
             cached_tokens = {}
-            for row in drawn if self.asks else ():
+            for row in candidates if self.asks else ():
                 view = self._coordinator.view(
                     f"n{node}", row.endpoint, [shared.part], now
                 )
                 row.update_backlog(view.tokens, view.speed, now)
                 cached_tokens[row.endpoint] = view.cached_tokens_at(prefix)
             choice = (
-                choose_candidate(drawn, criteria, cached_tokens, now) if drawn else None
+                choose_candidate(candidates, criteria, cached_tokens, now)
+                if candidates
+                else None
             )
             if choice is None or (self.admits is not None and not self.admits(choice)):
-                self.simulated.append(SimulatedPrompt(now, whole, None))
+                self.simulated.append(SimulatedPrompt(now, total_tokens, None))
                 return
-            self._send(node, choice, shared, whole, now)
+            self._send(node, choice, shared, total_tokens, now)
 
         return arrive
 
     def _send(
-        self, node: int, choice: Choice, shared: PromptPart, whole: int, now: float
+        self,
+        node: int,
+        choice: Choice,
+        shared: PromptPart,
+        total_tokens: int,
+        now: float,
     ) -> None:
         row = choice.endpoint
         engine = self._engines[row.endpoint]
-        unread = whole - (shared.tokens if shared.part in engine.cached_parts else 0)
+        uncached_tokens = total_tokens - (
+            shared.tokens if shared.part in engine.cached_parts else 0
+        )
         engine.cached_parts.add(shared.part)
-        request = RequestId(f"r{next(self._number)}")
-        name, told = f"n{node}", choice.unread_tokens
+        request = RequestId(f"r{next(self._sequence_numbers)}")
+        name, forecast_tokens = f"n{node}", choice.unread_tokens
         row.running += 1
-        row.prefill_tokens += told
-        placed = Placement(row.endpoint, request, told, (shared.part,), whole)
-        self._coordinator.add_prompt(name, placed, now)
-        engine.free_at = max(now, engine.free_at) + unread / engine.speed
+        row.prefill_tokens += forecast_tokens
+        placement = Placement(
+            row.endpoint, request, forecast_tokens, (shared.part,), total_tokens
+        )
+        self._coordinator.add_prompt(name, placement, now)
+        engine.free_at = max(now, engine.free_at) + uncached_tokens / engine.speed
         begins_at = engine.free_at + STEP_S
 
         def begin(at: float) -> None:
-            row.prefill_tokens -= told
+            row.prefill_tokens -= forecast_tokens
             self._coordinator.remove_prompt(row.endpoint, request, PromptEnd.BEGAN, at)
-            self.simulated.append(SimulatedPrompt(now, whole, at - now))
+            self.simulated.append(SimulatedPrompt(now, total_tokens, at - now))
 
         def end(at: float) -> None:
             row.running -= 1
 
-        self._at(begins_at, begin)
-        self._at(begins_at + STREAM_S, end)
+        self._schedule(begins_at, begin)
+        self._schedule(begins_at + STREAM_S, end)
--- a/poplarrelay/testing/processes.py
+++ b/poplarrelay/testing/processes.py
@@ -1,7 +1,7 @@
 """Run a site as separate processes over loopback.
 
-A node or stand-in starts no process; this module is for tests, demonstrations and
-measurements only. It ends only what it has started, by its process id.
+This module is for tests, demonstrations and measurements only; nodes and stand-ins
+start no processes. It ends only processes that it has started, by process id.
 """
 
 from __future__ import annotations
@@ -32,30 +32,31 @@
     team_token,
 )
 
-__all__ = ["NotReached", "Process", "RunningSite", "run_site", "wait_until"]
+__all__ = ["ConditionNotMet", "Process", "RunningSite", "run_site", "wait_until"]
 
-#: Seconds within which a process must serve after its start.
+#: Seconds within which a process must be ready after its start.
 START_TIMEOUT_S = 30.0
-#: Seconds within which a process must have ended after SIGTERM.
+#: Seconds within which a process must end after SIGTERM.
 STOP_TIMEOUT_S = 10.0
 POLL_S = 0.02
-#: First host numbers of endpoints and nodes; the platform's stand-ins come before.
-ENDPOINT_HOSTS, NODE_HOSTS = 20, 120
+#: Offsets of the host numbers of endpoints and nodes. The platform's stand-ins have
+#: lower numbers.
+ENDPOINT_HOST_OFFSET, NODE_HOST_OFFSET = 20, 120
 
 
-class NotReached(PoplarrelayError):
-    """A condition did not become true in time."""
+class ConditionNotMet(PoplarrelayError):
+    """A condition has not become true in time, or cannot become true."""
 
 
 def wait_until(
     condition: Callable[[], Any], timeout_s: float = START_TIMEOUT_S, what: str = ""
 ) -> Any:
-    """Wait until a condition is true, and return its value.
+    """Poll a condition until its value is true, and return that value.
 
     Raises
     ------
-    NotReached
-        If it is not true in time.
+    ConditionNotMet
+        If the value does not become true in time.
     """
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
@@ -63,12 +64,20 @@
         if value:
             return value
         time.sleep(POLL_S)
-    raise NotReached(f"not within {timeout_s} s: {what or condition}")
+    raise ConditionNotMet(f"condition false for {timeout_s} s: {what or condition}")
 
 
 @dataclass(slots=True)
 class Process:
-    """A started process."""
+    """A started process.
+
+    Attributes
+    ----------
+    address : str
+        ``host:port`` that the process listens on.
+    output : Path
+        File that standard output and standard error are written to.
+    """
 
     name: str
     address: str
@@ -81,25 +90,28 @@
         return self.popen.pid
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process has not ended."""
+        """Send a signal if the process still runs."""
         if self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once, as a reclaim or a crash does."""
+        """Kill the process, as a reclaim or a crash does, and wait for its end."""
         self.signal(signal.SIGKILL)
         self.popen.wait()
 
     def freeze(self) -> None:
-        """Stop the process; its sockets stay open."""
+        """Pause the process; its sockets stay open."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume the process."""
         self.signal(signal.SIGCONT)
 
     def end(self) -> int:
-        """End the process in order and return its exit code."""
+        """Stop the process with SIGTERM and return its exit code.
+
+        A process that does not end within `STOP_TIMEOUT_S` is killed.
+        """
         self.thaw()
         self.signal(signal.SIGTERM)
         try:
@@ -109,21 +121,29 @@
             return self.popen.wait()
 
     def log_lines(self) -> list[dict[str, Any]]:
-        """Return the JSON lines that the process has written."""
+        """Return the JSON lines that the process has written so far."""
         lines = self.output.read_text(errors="replace").splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
 
 @dataclass(slots=True)
 class RunningSite:
-    """A site whose processes run.
+    """A site with running processes.
 
     Attributes
     ----------
-    nodes, endpoints : dict of str to Process
-        By name.
+    folder : Path
+        Folder of the settings files and logs.
+    nodes, endpoints, standins : dict of str to Process
+        Processes by name; `standins` includes the endpoints.
     platform : dict of str to str
-        Addresses of the platform's stand-ins.
+        Addresses of the platform's stand-ins, by kind.
+    node_settings : dict of str to dict
+        Settings of each node, by the name of the node.
+    settings_changes : dict
+        Values that replace settings of every node.
+    command : tuple of str
+        Command that runs poplarrelay.
     """
 
     site: Site
@@ -177,7 +197,7 @@
         return process
 
     def start_node(self, name: str) -> Process:
-        """Start a node, or start it again after it has ended."""
+        """Start a node, or restart it after it has ended."""
         settings = self.node_settings[name]
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(settings))
@@ -187,15 +207,15 @@
         self.nodes[name] = process
         return process
 
-    # -- talking -----------------------------------------------------------
+    # -- requests ----------------------------------------------------------
 
     def peers_address(self, node: str) -> str:
-        """Return the address of a node's second listener."""
+        """Return the address of a node's listener for peers."""
         peers = self.node_settings[node]["peers"]
         return f"{peers['host']}:{peers['port']}"
 
     def get(self, address: str, path: str) -> Any:
-        """Return the JSON at a path, None if there is no good answer."""
+        """Return the JSON at a path, None if the call fails or is rejected."""
         try:
             reply = self.http_client.call("GET", address, path)
         except CallFailed:
@@ -207,24 +227,24 @@
         self.http_client.call("PUT", address, path, value, timeout_s=5.0)
 
     def post(self, address: str, path: str, value: Any) -> Any:
-        """Post JSON to a path and return the answer."""
+        """Post JSON to a path and return the JSON of the response."""
         return self.http_client.call("POST", address, path, value, timeout_s=15.0).value
 
     def faults(self, name: str, **faults: Any) -> None:
-        """Set the faults of a stand-in; none of the others stay."""
+        """Replace all faults of a stand-in."""
         self.put(self.standins[name].address, "/faults", faults)
 
     def status(self, node: str) -> dict[str, Any] | None:
-        """Return a node's status."""
+        """Return a node's status, None if the node does not report it."""
         return self.get(self.peers_address(node), "/status")
 
     def ready(self, node: str) -> bool:
-        """Return whether a node takes work."""
+        """Return whether a node is ready for requests."""
         status = self.status(node)
         return bool(status and status["ready"])
 
     def publish(self, node: str, subject: str, body: Any) -> Any:
-        """Publish a change through a node."""
+        """Publish a configuration change through a node."""
         path = "/operator/configuration"
         value = {"subject": subject, "body": body}
         return self.post(self.peers_address(node), path, value)
@@ -245,53 +265,59 @@
         }
 
     def client(self, team: str, seed: int = 1) -> CallerClient:
-        """Return a caller of a team."""
-        known = tuple(process.address for process in self.nodes.values())
-        return CallerClient(known, team_token(team), seed)
+        """Return a client that calls the nodes with the token of a team."""
+        addresses = tuple(process.address for process in self.nodes.values())
+        return CallerClient(addresses, team_token(team), seed)
 
     def notice(self, remaining_s: float, **target: str) -> None:
-        """Let the cloud send a notice for an endpoint or a failure domain."""
+        """Make the cloud send a reclaim notice for an endpoint or a failure domain."""
         value = {"remaining_s": remaining_s, **target}
         self.post(self.platform["cloud"], "/notices", value)
 
     def delist(self, endpoint: str) -> None:
-        """Take an endpoint off the host list."""
+        """Remove an endpoint from the host list."""
         self.http_client.call("DELETE", self.platform["hosts"], f"/hosts/{endpoint}")
 
     def runs(self) -> dict[str, int]:
-        """Return how often each call ran at the plain services that live."""
-        total: dict[str, int] = {}
+        """Return how often each call ran, summed over the services that respond."""
+        run_counts: dict[str, int] = {}
         for endpoint in self.site.endpoints:
             if endpoint.kind != "service":
                 continue
-            told = self.get(self.endpoints[endpoint.name].address, "/runs")
-            for name, times in (told or {"runs": {}})["runs"].items():
-                total[name] = total.get(name, 0) + times
-        return total
+            reply = self.get(self.endpoints[endpoint.name].address, "/runs")
+            for name, times in (reply or {"runs": {}})["runs"].items():
+                run_counts[name] = run_counts.get(name, 0) + times
+        return run_counts
 
-    # -- life --------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------
 
     def wait_ready(self) -> None:
-        """Wait until all nodes know each other and all endpoints."""
+        """Wait until every node lists all other nodes and all endpoints."""
         for name, process in self.nodes.items():
             try:
-                wait_until(partial(self._complete, name), what=f"{name} ready")
-            except NotReached as error:
-                # Without its own words nobody can tell a slow start from a failed one.
-                said = process.output.read_text(errors="replace")[-2000:]
+                wait_until(partial(self._has_all_rows, name), what=f"{name} ready")
+            except ConditionNotMet as error:
+                # Without the log, a slow start and a failed start look the same.
+                log_end = process.output.read_text(errors="replace")[-2000:]
                 status = self.status(name)
-                raise NotReached(f"{error}; status {status}; log: {said}") from error
+                raise ConditionNotMet(
+                    f"{error}; status {status}; log: {log_end}"
+                ) from error
 
-    def _complete(self, node: str) -> bool:
+    def _has_all_rows(self, node: str) -> bool:
         process = self.nodes[node]
         if process.popen.poll() is not None:
-            raise NotReached(f"{node} ended: {process.output.read_text()[-2000:]}")
+            raise ConditionNotMet(
+                f"{node} has ended; log: {process.output.read_text()[-2000:]}"
+            )
         status = self.status(node)
         if not status or not status["ready"]:
             return False
-        others = [m for m in status["members"].values() if m["status"] == "alive"]
-        everyone = len(others) == len(self.nodes) - 1
-        return everyone and len(status["endpoints"]) == len(self.endpoints)
+        alive_members = [
+            m for m in status["members"].values() if m["status"] == "alive"
+        ]
+        all_alive = len(alive_members) == len(self.nodes) - 1
+        return all_alive and len(status["endpoints"]) == len(self.endpoints)
 
     def publish_all(self) -> None:
         """Publish the site's configuration through the first node."""
@@ -306,15 +332,15 @@
 
     def _publish(self, node: str, subject: str, body: Any) -> None:
         def accepted() -> bool:
-            answer = self.publish(node, subject, body)
-            if answer.get("status") in (409, 422):
-                raise NotReached(f"{subject}: {answer}")
-            return bool(answer.get("status") == "accepted")
+            reply = self.publish(node, subject, body)
+            if reply.get("status") in (409, 422):
+                raise ConditionNotMet(f"{subject} rejected: {reply}")
+            return bool(reply.get("status") == "accepted")
 
         wait_until(accepted, what=subject)
 
     def stop(self) -> None:
-        """End all processes."""
+        """Kill all processes, and wait until they have ended."""
         processes = [*self.nodes.values(), *self.standins.values()]
         for process in processes:
             process.thaw()
@@ -323,7 +349,7 @@
             process.popen.wait()
 
 
-def _host_rows(site: Site, addresses: dict[str, str]) -> list[dict[str, Any]]:
+def _host_records(site: Site, addresses: dict[str, str]) -> list[dict[str, Any]]:
     return [
         {
             "endpoint": endpoint.name,
@@ -371,11 +397,11 @@
     }
     running.platform = {name: free_address(host) for name, host in hosts.items()}
     addresses = {
-        endpoint.name: free_address(loopback_host(ENDPOINT_HOSTS + index))
+        endpoint.name: free_address(loopback_host(ENDPOINT_HOST_OFFSET + index))
         for index, endpoint in enumerate(site.endpoints, 1)
     }
     listing = running.folder / "hosts.json"
-    listing.write_text(json.dumps(_host_rows(site, addresses)))
+    listing.write_text(json.dumps(_host_records(site, addresses)))
     start = running.start_standin
     start("log", "log", running.platform["log"], log_options)
     start("cloud", "cloud", running.platform["cloud"], [])
@@ -387,11 +413,11 @@
 
 def _start_nodes(running: RunningSite) -> None:
     count = len(running.site.nodes)
-    hosts = [loopback_host(NODE_HOSTS + index) for index in range(1, count + 1)]
+    hosts = [loopback_host(NODE_HOST_OFFSET + index) for index in range(1, count + 1)]
     peers = [free_address(host) for host in hosts]
-    for node, host, own in zip(running.site.nodes, hosts, peers, strict=True):
+    for node, host, peers_address in zip(running.site.nodes, hosts, peers, strict=True):
         running.node_settings[node.name] = _node_settings(
-            running, node, host, peers[:3], own
+            running, node, host, peers[:3], peers_address
         )
     for node in running.site.nodes:
         running.start_node(node.name)
@@ -405,20 +431,21 @@
     command: tuple[str, ...] | None = None,
     nodes: bool = True,
 ) -> Iterator[RunningSite]:
-    """Run a site, and end all its processes afterwards.
+    """Run a site, and end all its processes on exit.
 
     Parameters
     ----------
     site : Site
-        The site.
+        Nodes, endpoints and configuration to start.
     settings : dict or None
-        Changes to every node's settings.
+        Values that replace settings of every node.
     log_options : list of str or None
-        Options of the log's stand-in.
+        Command-line options of the log's stand-in.
     command : tuple of str or None
-        How to run poplarrelay, if not by this interpreter.
+        Command that runs poplarrelay; None for a module of this interpreter.
     nodes : bool
-        Whether to start the nodes, publish and wait until all is ready.
+        Whether to start the nodes, publish the configuration, and wait until all nodes
+        are ready.
     """
     with tempfile.TemporaryDirectory(prefix="poplarrelay-") as folder:
         running = RunningSite(site, Path(folder), JsonHttpClient(1.0))
--- a/poplarrelay/testing/request_contexts.py
+++ b/poplarrelay/testing/request_contexts.py
@@ -1,4 +1,4 @@
-"""Test builders for routes and admitted requests of an entry node."""
+"""Builders of routes and request contexts of an entry node, for tests."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 def make_route(
     service: str, kind: RouteKind = RouteKind.IDEMPOTENT, target_s: float = 0.2
 ) -> Route:
-    """Return a route to one service."""
+    """Return a route to a single service."""
     share = ServiceShare(ServiceName(service), 1.0)
     return Route("look", "desk.example", "/look/", kind, 1.5, target_s, 1, (share,))
 
 
-def make_request_context(service: str, patience_s: float = 1.5) -> RequestContext:
-    """Return an admitted request that has just arrived."""
+def make_request_context(service: str, timeout_s: float = 1.5) -> RequestContext:
+    """Return the context of a request that has just arrived and been admitted."""
     now = monotonic()
     request = CallerRequest(
         request=RequestId("request-1"),
@@ -49,7 +49,7 @@
         team=None,
         priority=1,
         service=ServiceName(service),
-        until=now + patience_s,
+        until=now + timeout_s,
         version=ConfigurationVersion(1),
         progress=StreamProgress(None),
         teams_configured=False,
--- a/poplarrelay/testing/rows.py
+++ b/poplarrelay/testing/rows.py
@@ -1,4 +1,4 @@
-"""Builders of nodes' rows, cells' summaries and networks of nodes, for tests."""
+"""Builders of peer rows, cell summaries and networks of nodes, for tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_row(node: str, host: str = "", started: int = 1) -> PeerRow:
-    """Return the row of a node that is ready and has done nothing."""
+    """Return the row of a node that is ready and has no load or usage."""
     return PeerRow(
         node=NodeId(node),
         incarnation=Incarnation(f"{started:013d}-000001"),
@@ -29,7 +29,7 @@
 def make_summary(
     cell: Cell, representative: str, version: int, hosts: Sequence[str]
 ) -> CellSummary:
-    """Return what a speaker tells of ready nodes that have done nothing."""
+    """Return a representative's summary of ready nodes without load or usage."""
     ready, configuration = NodeState.READY, ConfigurationVersion(1)
     return CellSummary(
         cell=cell,
@@ -49,7 +49,7 @@
 def make_network(
     count: int, loss: float = 0.0, settle_s: float = 0.0, seed: int = 1
 ) -> Network:
-    """Return nodes that know three seeds, after some time."""
+    """Return a network that starts with three known seeds and runs for some seconds."""
     network = Network.starting(count, loss, seed)
     for _ in network.run(settle_s):
         pass
--- a/poplarrelay/testing/site.py
+++ b/poplarrelay/testing/site.py
@@ -1,4 +1,4 @@
-"""A site: failure domains, nodes, endpoints and configuration, in one file."""
+"""Description of a site: failure domains, nodes, endpoints and configuration."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 ]
 
 
-_RETURNED: set[str] = set()
+#: Addresses that `free_address` has returned.
+_RETURNED_ADDRESSES: set[str] = set()
 
 
 class SiteNode(StrictModel):
@@ -34,18 +35,18 @@
 
 
 class SiteEndpoint(StrictModel):
-    """An endpoint and how its stand-in behaves.
+    """An endpoint and the behaviour of its stand-in.
 
     Attributes
     ----------
     names : tuple of str
-        Models or services.
+        Models or services that the endpoint runs.
     price : float
-        Price of its host per hour.
+        Price of the host per hour.
     slots : int
-        Requests at once.
+        Maximum number of concurrent requests.
     step_s : float
-        Seconds between two tokens, or of a call.
+        Seconds between two tokens of an engine, or per call of a service.
     """
 
     name: Name
@@ -63,7 +64,7 @@
 
 
 class Site(StrictModel):
-    """A whole site.
+    """A site, as read from a site file.
 
     Attributes
     ----------
@@ -80,18 +81,18 @@
 
     @classmethod
     def from_file(cls, path: Path) -> Site:
-        """Read and check a site file.
+        """Read and validate a site file.
 
         Raises
         ------
         SettingsError
-            With every fault of the file.
+            If the file is invalid; the error lists every fault.
         """
         return load_json_file(cls, path)
 
 
 def hash_token(token: str) -> str:
-    """Return a token's SHA-256, as deployments hold it.
+    """Return the SHA-256 of a token in the form that deployments contain.
 
     Examples
     --------
@@ -102,7 +103,7 @@
 
 
 def team_token(team: str) -> str:
-    """Return the token that the example sites give to a team.
+    """Return the token of a team in the example sites.
 
     Examples
     --------
@@ -113,24 +114,23 @@
 
 
 def loopback_host(number: int) -> str:
-    """Return one of this process's own loopback addresses.
+    """Return one of the loopback addresses reserved for this process.
 
     Notes
     -----
-    A port is free when it is looked up and bound a moment later by another process.
-    Were sites of several test processes on the same addresses, one could take the
-    port of another in between.
+    Between the lookup of a free port and its use, another process can bind it. With
+    separate addresses, sites of several test processes cannot take each other's ports.
     """
-    process = os.getpid()
-    return f"127.{16 + process % 200}.{process // 200 % 250}.{number}"
+    process_id = os.getpid()
+    return f"127.{16 + process_id % 200}.{process_id // 200 % 250}.{number}"
 
 
 def free_address(host: str) -> str:
-    """Return ``host:port`` with a free port that was not returned before."""
+    """Return ``host:port`` with a free port; no address is returned twice."""
     while True:
         with socket.socket() as probe:
             probe.bind((host, 0))
             address = f"{host}:{probe.getsockname()[1]}"
-        if address not in _RETURNED:
-            _RETURNED.add(address)
+        if address not in _RETURNED_ADDRESSES:
+            _RETURNED_ADDRESSES.add(address)
             return address
--- a/poplarrelay/testing/steps.py
+++ b/poplarrelay/testing/steps.py
@@ -1,4 +1,4 @@
-"""Steps that failure tests on real processes share."""
+"""Steps that several tests of failures on real processes share."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ]
 
 PROMPT = "officer notes of one family " * 40
-#: Short waits, so that failures are seen soon.
+#: Short timeouts, with which failures are detected soon.
 SHORT_TIMEOUTS = {
     "timing": {
         "log_wait_s": 0.5,
@@ -36,12 +36,12 @@
 
 
 def whole(prompt: str, count: int) -> list[str]:
-    """Return the tokens of a whole answer."""
+    """Return the tokens of a complete answer of `count` tokens."""
     return [token_text(prompt, index) for index in range(count)]
 
 
 def busy_endpoint(site: RunningSite) -> str | None:
-    """Return an endpoint that runs an attempt."""
+    """Return the name of an endpoint that runs an attempt, None if no one does."""
     for node in site.nodes:
         status = site.status(node) or {"endpoints": {}}
         for name, endpoint in status["endpoints"].items():
@@ -51,7 +51,7 @@
 
 
 def busy_node(site: RunningSite) -> str | None:
-    """Return a node that runs an attempt."""
+    """Return the name of a node that runs an attempt, None if no one does."""
     for node in site.nodes:
         status = site.status(node) or {"requests": {}}
         if status["requests"].get("dispatched"):
@@ -62,7 +62,7 @@
 def start_stream(
     site: RunningSite, count: int, tokens: int = 10
 ) -> tuple[Iterator[str], CompletionResult]:
-    """Begin a stream of `count` tokens and read the first ones."""
+    """Start a stream of `count` tokens and read the first `tokens` of them."""
     result = CompletionResult()
     stream = site.client("alpha").stream(
         "small", PROMPT, count, 60.0, "standard", result
@@ -93,5 +93,5 @@
 
 
 def run_counts(site: RunningSite) -> list[int]:
-    """Return how often each booking ran."""
+    """Return the number of runs of each booking."""
     return list(site.runs().values())
--- a/poplarrelay/testing/templates.py
+++ b/poplarrelay/testing/templates.py
@@ -1,4 +1,4 @@
-"""Filling in a settings template as the users' platform does."""
+"""Fill in a settings template as the users' platform does, for tests."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 
 def fill_in(template: str, fields: dict[str, Any]) -> str:
-    """Return the text that the platform makes of a template.
+    """Return a template with its sections and values replaced.
 
     Parameters
     ----------
     template : str
-        The template.
+        Template with sections (``{{#name}}`` if the value is set, ``{{^name}}`` if
+        not, both up to ``{{/name}}``) and values (``{{name}}``, ``{{name|json}}``).
     fields : dict
-        What is known of the process, as nested tables.
+        Values of the process to start, as nested dictionaries.
 
     Examples
     --------
@@ -34,8 +35,8 @@
 
 
 def _fill(template: str, scopes: list[Any], key: str, last: bool) -> str:
-    def section(found: re.Match[str]) -> str:
-        sign, name, inner = found.groups()
+    def replace_section(match: re.Match[str]) -> str:
+        sign, name, inner = match.groups()
         value = _look_up(scopes, name)
         if sign == "^":
             return "" if value else _fill(inner, scopes, key, last)
@@ -45,15 +46,15 @@
             for number, (entry_key, entry) in enumerate(entries, 1)
         )
 
-    def value(found: re.Match[str]) -> str:
-        name, as_json = found.groups()
+    def replace_value(match: re.Match[str]) -> str:
+        name, as_json = match.groups()
         if name == "@":
             return key
         if name == ",":
             return "" if last else ","
         return _text(_look_up(scopes, name), as_json=bool(as_json))
 
-    return _VALUE.sub(value, _SECTION.sub(section, template))
+    return _VALUE.sub(replace_value, _SECTION.sub(replace_section, template))
 
 
 def _entries(value: Any) -> list[tuple[str, Any]]:
--- a/poplarrelay/testing/worlds.py
+++ b/poplarrelay/testing/worlds.py
@@ -1,4 +1,4 @@
-"""Builders of worlds and rows that belong to no process."""
+"""Builders of worlds and endpoint rows, for tests that start no process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_settings(name: str, index: int) -> NodeSettings:
-    """Return the settings of a node that listens nowhere."""
+    """Return the settings of a node that is never started."""
     return NodeSettings.model_validate(
         {
             "node": name,
@@ -40,7 +40,7 @@
 def make_endpoint(
     name: str, kind: EndpointKind, domain: str, **changes: Any
 ) -> Endpoint:
-    """Return an endpoint's row."""
+    """Return an endpoint's row; keyword arguments replace its attributes."""
     names = {"small"} if kind is EndpointKind.ENGINE else {"booking"}
     endpoint = Endpoint(
         id=EndpointId(name),
@@ -59,7 +59,7 @@
 def make_world(
     name: str, index: int, incarnation: str, now: float, seed: int = 1
 ) -> World:
-    """Return the world of a node that serves, with one plain service."""
+    """Return the world of a ready node with one service endpoint."""
     world = World.from_settings(
         make_settings(name, index), Incarnation(incarnation), int(now), now, seed
     )
