--- a/poplarrelay/testing/permits.py
+++ b/poplarrelay/testing/permits.py
@@ -25,7 +25,7 @@
 
 
 def max_in_window(times: Sequence[float], start: float = -inf) -> int:
-    """Return the largest number of times in any window at or after `start`."""
+    """Return the most times in any window that begins at or after `start`."""
     counted = [at for at in times if at >= start]
     return max(
         (sum(0 <= at - first < WINDOW_S for at in counted) for first in counted),
--- a/poplarrelay/testing/templates.py
+++ b/poplarrelay/testing/templates.py
@@ -19,8 +19,10 @@
     Parameters
     ----------
     template : str
-        Template with sections (``{{#name}}`` if the value is set, ``{{^name}}`` if
-        not, both up to ``{{/name}}``) and values (``{{name}}``, ``{{name|json}}``).
+        Template with sections and values. ``{{#name}}`` to ``{{/name}}`` is repeated
+        for each entry of a value, ``{{^name}}`` to ``{{/name}}`` stays if there is no
+        value. Within an entry, ``{{@}}`` is its key, ``{{.}}`` the entry, and
+        ``{{,}}`` a comma except after the last one.
     fields : dict
         Values of the process to start, as nested dictionaries.
 
