--- a/poplarrelay/testing/network.py
+++ b/poplarrelay/testing/network.py
@@ -158,8 +158,8 @@
     def count_false_deaths(self) -> tuple[int, int]:
         """Return how many live nodes other nodes do not list, and how many they should.
 
-        In a network of 40 or more nodes, only 20 to 30 of them are checked. Both numbers
-        are sums over the checked nodes.
+        In a network of 40 or more nodes, only 20 to 30 of them are checked. Both
+        numbers are sums over the checked nodes.
         """
         alive = set(self.alive)
         missing = pairs = 0
