--- a/bench/membership_at_size.py
+++ b/bench/membership_at_size.py
@@ -18,7 +18,7 @@
 
 from poplarrelay.entry.peer_rows import NodeState
 from poplarrelay.identifiers import TeamId
-from poplarrelay.testing.network import USE_PER_S, Network
+from poplarrelay.testing.network import USAGE_PER_S, Network
 
 __all__ = ["Figures", "measure"]
 
@@ -57,14 +57,14 @@
 def _usage_error(network: Network) -> float:
     """Return the mean error of a team's usage in the nodes' tables, in percent."""
     actual = sum(
-        network.tables[host].me.spent[TeamId("team-0")] for host in network.alive
+        network.tables[host].me.used[TeamId("team-0")] for host in network.alive
     )
-    total = USE_PER_S * USAGE_WINDOW_S * len(network.alive)
+    total = USAGE_PER_S * USAGE_WINDOW_S * len(network.alive)
     errors = []
     for host in network.alive[:: max(1, network.count // 20)]:
         table = network.tables[host]
-        rows = (table.me, *table.counted(network.now))
-        reported = sum(each.spent.get(TeamId("team-0"), 0.0) for each in rows)
+        rows = (table.me, *table.rows_and_summaries(network.now))
+        reported = sum(each.used.get(TeamId("team-0"), 0.0) for each in rows)
         errors.append(abs(actual - reported) / total)
     return 100 * sum(errors) / len(errors)
 
@@ -95,7 +95,7 @@
     seed : int
         Seed of the random generators.
     """
-    network = Network.starting(count, loss, seed)
+    network = Network.create(count, loss, seed)
     for _ in network.run(SETTLE_S):
         pass
     sent = [(n.sent_bytes, n.sent_datagrams) for n in network.nodes.values()]
--- a/poplarrelay/commands/losses.py
+++ b/poplarrelay/commands/losses.py
@@ -46,7 +46,7 @@
 #: outcomes that are not listed.
 _CAUSE_BY_OUTCOME = {
     RefusalReason.FULL.value: Cause.FULL,
-    RefusalReason.BEHIND.value: Cause.FULL,
+    RefusalReason.QUEUE_TOO_LONG.value: Cause.FULL,
     RefusalReason.LIMITED.value: Cause.FULL,
     RefusalReason.NO_ENDPOINT.value: Cause.NO_ENDPOINT,
     RefusalReason.NOT_RUN.value: Cause.NOT_RUN,
--- a/poplarrelay/entry/attempts.py
+++ b/poplarrelay/entry/attempts.py
@@ -51,7 +51,7 @@
 
     Attributes
     ----------
-    until : float
+    deadline : float
         Monotonic time of the request's deadline.
     fetch_from : tuple of str and int, or None
         Address from which the endpoint can fetch the KV cache of the prompt's shared
@@ -59,14 +59,14 @@
     pass_credentials : bool
         Whether the caller's credentials are forwarded, because the endpoint checks them
         itself.
-    patience_s : float or None
+    silence_timeout_s : float or None
         Seconds without data after which the attempt fails. None means no such limit:
         if no further attempt is allowed, an early end gains nothing.
     """
 
     endpoint: Endpoint
-    until: float
-    patience_s: float | None
+    deadline: float
+    silence_timeout_s: float | None
     team: TeamId | None
     priority: int | None
     fetch_from: Address | None = None
@@ -145,7 +145,7 @@
     async def _run(self) -> AttemptResult:
         await self._send()
         assert self._connection is not None
-        async with asyncio.timeout(self.plan.patience_s):
+        async with asyncio.timeout(self.plan.silence_timeout_s):
             head = await self._connection.response_head()
         echoed = echoed_request(head.headers)
         if echoed is not None and echoed != self.request.request:
@@ -169,7 +169,7 @@
             # The endpoint left while this node connected, which takes up to 0.6 s.
             # Nothing has been sent, so the request can go to any other endpoint.
             raise ExchangeFailed("endpoint left during connect", sent=False)
-        remaining_s = plan.until - monotonic()
+        remaining_s = plan.deadline - monotonic()
         headers = attempt_headers(
             self.request,
             AttemptHeaders(
@@ -190,7 +190,7 @@
     async def _collect(self, head: ResponseHead) -> AttemptResult:
         """Return a complete answer; a truncated answer must never count as complete."""
         assert self._connection is not None
-        async with asyncio.timeout(self.plan.patience_s):
+        async with asyncio.timeout(self.plan.silence_timeout_s):
             body = await self._connection.body(MAX_ANSWER_BYTES)
         self._return_connection(head.headers)
         if not_executed(head.status, head.headers):
@@ -208,7 +208,7 @@
         assert self._connection is not None
         splitter = EventSplitter()
         while True:
-            async with asyncio.timeout(self.plan.patience_s):
+            async with asyncio.timeout(self.plan.silence_timeout_s):
                 part = await self._connection.body_part()
             if part is None:
                 break
@@ -249,7 +249,7 @@
             # Another run may listen at the same address. A request sent over this
             # connection would be lost, and its outcome would be unknown.
             return
-        self.pool.give_back(self.plan.endpoint.address, self._connection, headers)
+        self.pool.release(self.plan.endpoint.address, self._connection, headers)
         self._connection = None
 
 
--- a/poplarrelay/entry/backlog_client.py
+++ b/poplarrelay/entry/backlog_client.py
@@ -28,7 +28,7 @@
 REPLY_TIMEOUT_S = 0.02
 #: Seconds for which a node that did not reply gets no further requests, so that an
 #: unreachable node delays a request only once in this time.
-SILENT_S = 0.5
+UNANSWERED_PAUSE_S = 0.5
 
 #: Message kinds, sent as the first element of each message.
 REQUEST, REPLY, ADDED, REMOVED = "ask", "told", "placed", "out"
@@ -87,7 +87,7 @@
 
     own_host: str
     nodes: Callable[[], Mapping[NodeId, str]]
-    carrier: BacklogSender
+    sender: BacklogSender
     monotonic: Callable[[], float]
     table: BacklogTable = field(default_factory=BacklogTable)
     _last_number: int = 0
@@ -111,7 +111,7 @@
 
     # Requests to coordinators
 
-    async def ask(
+    async def request_backlogs(
         self, endpoints: Sequence[EndpointId], parts: Sequence[str]
     ) -> dict[EndpointId, BacklogView]:
         """Return the backlogs of engines whose coordinators reply in time.
@@ -147,12 +147,12 @@
         self._pending[number] = pending
         for host, endpoints in by_host.items():
             message = [REQUEST, number, list(endpoints), list(parts)]
-            self.carrier.send_backlog(host, message)
+            self.sender.send_backlog(host, message)
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_S):
                 await done
         except TimeoutError:
-            skip_until = self.monotonic() + SILENT_S
+            skip_until = self.monotonic() + UNANSWERED_PAUSE_S
             for host in pending.unanswered_hosts:
                 self._skip_until[host] = skip_until
             _LOG.debug("no answer", extra={"hosts": sorted(pending.unanswered_hosts)})
@@ -173,7 +173,7 @@
         if host == self.own_host:
             self.table.add_prompt(host, placed, self.monotonic())
         else:
-            self.carrier.send_backlog(host, [ADDED, *placed.encode()])
+            self.sender.send_backlog(host, [ADDED, *placed.encode()])
 
     def remove_prompt(
         self, endpoint: EndpointId, request: RequestId, end: PromptEnd
@@ -184,7 +184,7 @@
             self.table.remove_prompt(endpoint, request, end, self.monotonic())
         else:
             message = [REMOVED, endpoint, request, end.value]
-            self.carrier.send_backlog(host, message)
+            self.sender.send_backlog(host, message)
 
     # Messages from peers
 
@@ -196,7 +196,7 @@
             known = [EndpointId(str(endpoint)) for endpoint in endpoints]
             views = self._views(host, known, [str(part) for part in parts])
             encoded = [view.encode() for view in views.values()]
-            self.carrier.send_backlog(host, [REPLY, number, encoded])
+            self.sender.send_backlog(host, [REPLY, number, encoded])
         elif kind == REPLY:
             number, encoded = rest
             self._receive_reply(
--- a/poplarrelay/entry/cells.py
+++ b/poplarrelay/entry/cells.py
@@ -25,13 +25,13 @@
 
 __all__ = [
     "Cell",
+    "CellMember",
     "CellSummary",
-    "Member",
     "cell_bits",
     "cell_of",
-    "start_of",
+    "encoded_version",
+    "process_start_ms",
     "summarise",
-    "version_of",
 ]
 
 #: Largest average number of nodes in a cell. With three datagrams a round, up to about
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class CellMember:
     """A node of another cell, as reported by the representative of that cell."""
 
     node: NodeId
@@ -124,9 +124,9 @@
         Raised when rows that were part of earlier sums are left out.
     started_ms : int
         Time of day in ms at which the earliest process of the cell started.
-    members : tuple of Member
+    members : tuple of CellMember
         Nodes of the cell that are alive or have left after a clean stop.
-    usage, spent, loads, demand : dict
+    usage, used, loads, demand : dict
         Sums over the rows of the cell; see `PeerRow`.
     """
 
@@ -136,9 +136,9 @@
     version: int
     epoch: int
     started_ms: int
-    members: tuple[Member, ...]
+    members: tuple[CellMember, ...]
     usage: dict[WindowNumber, dict[TeamId, int]]
-    spent: dict[TeamId, float]
+    used: dict[TeamId, float]
     loads: dict[EndpointId, int]
     demand: dict[ServiceName, int]
 
@@ -163,7 +163,7 @@
             self.started_ms,
             [[m.node, m.host, m.state.value, m.configuration] for m in self.members],
             {str(window): counts for window, counts in self.usage.items()},
-            {team: round(spent) for team, spent in self.spent.items()},
+            {team: round(used) for team, used in self.used.items()},
             self.loads,
             self.demand,
         ]
@@ -174,7 +174,7 @@
         bits, number, representative, incarnation, version, epoch, started_ms, *rest = (
             raw
         )
-        members, usage, spent, loads, demand = rest
+        members, usage, used, loads, demand = rest
         return cls(
             cell=Cell(int(bits), int(number)),
             representative=NodeId(str(representative)),
@@ -184,21 +184,21 @@
             started_ms=int(started_ms),
             members=tuple(_decode_member(member) for member in members),
             usage={int(window): counts for window, counts in usage.items()},
-            spent=spent,
+            used=used,
             loads=loads,
             demand=demand,
         )
 
 
-def version_of(raw: list[Any]) -> tuple[str, int]:
+def encoded_version(raw: list[Any]) -> tuple[str, int]:
     """Return a summary's incarnation and version from its JSON list."""
     return str(raw[3]), int(raw[4])
 
 
-def _decode_member(raw: list[Any]) -> Member:
+def _decode_member(raw: list[Any]) -> CellMember:
     node, host, state, configuration = raw
     version = ConfigurationVersion(int(configuration))
-    return Member(NodeId(str(node)), str(host), NodeState(state), version)
+    return CellMember(NodeId(str(node)), str(host), NodeState(state), version)
 
 
 def summarise(
@@ -225,18 +225,18 @@
         See `CellSummary`.
     """
     usage: dict[WindowNumber, dict[TeamId, int]] = {}
-    spent: dict[TeamId, float] = {}
-    started_ms = start_of(representative)
+    used: dict[TeamId, float] = {}
+    started_ms = process_start_ms(representative)
     for row in counted:
-        started_ms = min(started_ms, start_of(row))
-        _add_values(spent, row.spent)
+        started_ms = min(started_ms, process_start_ms(row))
+        _add_values(used, row.used)
         for window, counts in row.usage.items():
             _add_values(usage.setdefault(window, {}), counts)
     loads: dict[EndpointId, int] = {}
     demand: dict[ServiceName, int] = {}
     members = []
     for row in listed:
-        members.append(Member(row.node, row.host, row.state, row.configuration))
+        members.append(CellMember(row.node, row.host, row.state, row.configuration))
         if row.state is not NodeState.STOPPED:
             _add_values(loads, row.loads)
             _add_values(demand, row.demand)
@@ -249,13 +249,13 @@
         started_ms=started_ms,
         members=tuple(members),
         usage=usage,
-        spent=spent,
+        used=used,
         loads=loads,
         demand=demand,
     )
 
 
-def start_of(row: PeerRow) -> int:
+def process_start_ms(row: PeerRow) -> int:
     """Return the time of day in ms at which the process of a row started."""
     return int(row.incarnation.partition("-")[0])
 
--- a/poplarrelay/entry/charging.py
+++ b/poplarrelay/entry/charging.py
@@ -64,7 +64,7 @@
         context.quota_left = bucket.level
         if over_quota is None:
             context.quota_cost = cost
-            if bucket.tight(team.quota):
+            if bucket.is_low(team.quota):
                 self._announce_usage(bucket)
             return None
         return Refusal(
@@ -77,7 +77,7 @@
     def _announce_usage(self, bucket: Bucket) -> None:
         """Announce this node's row if its unreported usage has become too large."""
         bounds = self._state.settings.bounds
-        unreported = bucket.spent - bucket.told
+        unreported = bucket.used - bucket.reported
         if unreported > UNREPORTED_SHARE * bounds.quota_slack / self._state.total_nodes:
             self._announce()
 
@@ -87,5 +87,5 @@
             return
         bucket = self._state.bucket(context.team, monotonic())
         if bucket is not None:
-            bucket.give_back(context.quota_cost)
+            bucket.refund(context.quota_cost)
             context.quota_cost = 0.0
--- a/poplarrelay/entry/choosing.py
+++ b/poplarrelay/entry/choosing.py
@@ -110,7 +110,7 @@
     Among equal endpoints, one in the node's own failure domain saves traffic between
     domains.
     """
-    answer_s = max(MIN_ANSWER_S, row.health.first_answer_s)
+    answer_s = max(MIN_ANSWER_S, row.health.first_byte_s)
     return (
         (row.load + 1) / max(1, row.slots) * answer_s,
         row.load,
--- a/poplarrelay/entry/clock.py
+++ b/poplarrelay/entry/clock.py
@@ -59,14 +59,14 @@
         """Return this host's time of day with the correction added."""
         return self._wall() + self.correction
 
-    def receive(self, peer: str, peer_wall: float, at: float) -> None:
+    def receive(self, peer: str, peer_time_of_day: float, at: float) -> None:
         """Record the time of day in a datagram from a peer.
 
         Parameters
         ----------
         peer : str
             Name of the peer.
-        peer_wall : float
+        peer_time_of_day : float
             Time of day of the peer's own clock when it sent the datagram.
         at : float
             Monotonic time of arrival.
@@ -75,7 +75,7 @@
         peer_readings = self._readings.setdefault(
             peer, deque(maxlen=MAX_READINGS_PER_PEER)
         )
-        peer_readings.append((peer_wall - at, at))
+        peer_readings.append((peer_time_of_day - at, at))
         self._pending_reading = (at, self._wall() - at)
 
     def _update_correction(self) -> None:
--- a/poplarrelay/entry/configuration.py
+++ b/poplarrelay/entry/configuration.py
@@ -102,7 +102,7 @@
 
     Attributes
     ----------
-    least, most : int
+    min_endpoints, max_endpoints : int
         Bounds on the total number of reclaimable and on-demand endpoints.
     boot_s : float
         Time from the order of an endpoint until it serves requests.
@@ -112,8 +112,8 @@
         Price of an on-demand endpoint per second, by failure domain.
     """
 
-    least: int
-    most: int
+    min_endpoints: int
+    max_endpoints: int
     boot_s: float
     reclaimable_price: float
     domain_prices: dict[DomainId, float]
--- a/poplarrelay/entry/configuration_follower.py
+++ b/poplarrelay/entry/configuration_follower.py
@@ -25,7 +25,7 @@
 __all__ = [
     "ConfigurationApplier",
     "ConfigurationFollower",
-    "Dependency",
+    "DependencyLog",
     "apply_configuration",
 ]
 
@@ -37,7 +37,7 @@
 MAX_PAUSE_S = 0.6
 
 
-class Dependency:
+class DependencyLog:
     """Logger of the start and the end of each outage of a dependency."""
 
     def __init__(self, name: str) -> None:
@@ -110,7 +110,7 @@
     ----------
     store : Store
         The platform's store.
-    dependency : Dependency
+    dependency : DependencyLog
         Records successful and failed reads.
     applier : ConfigurationApplier
         Receives the records.
@@ -121,7 +121,7 @@
     def __init__(
         self,
         store: Store,
-        dependency: Dependency,
+        dependency: DependencyLog,
         applier: ConfigurationApplier,
         wait_s: float,
         rng: Random,
--- a/poplarrelay/entry/demand.py
+++ b/poplarrelay/entry/demand.py
@@ -69,7 +69,7 @@
         tokens = self.uncached_shares.get(service, 1.0) * prompt_tokens + output_tokens
         self.arrivals.setdefault(service, deque()).append((now, tokens))
 
-    def note_unread(self, service: ServiceName, prompt: int, uncached: int) -> None:
+    def note_uncached(self, service: ServiceName, prompt: int, uncached: int) -> None:
         """Update the share of uncached tokens by a prompt that is sent to an engine.
 
         Parameters
--- a/poplarrelay/entry/duty_worker.py
+++ b/poplarrelay/entry/duty_worker.py
@@ -18,7 +18,7 @@
 from poplarrelay.platform.cloud import (
     CloudClient,
     CloudOutcome,
-    DutyStamp,
+    DutyHolder,
 )
 from poplarrelay.platform.store import Producer, Store
 
@@ -145,8 +145,8 @@
         """Return whether this node is a candidate for the duties."""
         state = self._state
         if now - self._started_at < PEER_DISCOVERY_S:
-            return state.listed is not None and is_candidate(
-                state.me.node, state.listed
+            return state.listed_nodes is not None and is_candidate(
+                state.me.node, state.listed_nodes
             )
         alive = [peer.node for peer in state.peers.alive(now)]
         return is_candidate(state.me.node, alive)
@@ -214,10 +214,10 @@
             await asyncio.sleep(SCALING_INTERVAL_S)
 
     @property
-    def _stamp(self) -> DutyStamp:
+    def _stamp(self) -> DutyHolder:
         """Return the stamp for a call to the platform, and record an action."""
         self._lease.record_action(monotonic())
-        return DutyStamp(NodeId(self._state.me.node), self._lease.token)
+        return DutyHolder(NodeId(self._state.me.node), self._lease.token)
 
     async def _step_down(self, why: str) -> None:
         """Leave the group after a refusal that indicates a newer holder.
--- a/poplarrelay/entry/endpoint_list.py
+++ b/poplarrelay/entry/endpoint_list.py
@@ -282,7 +282,7 @@
 
     def _apply(self, change: EndpointChange, why: str, now: float) -> None:
         known = self._known.get(change.endpoint)
-        if change.lapsed and self._state.freshness.steady(now):
+        if change.lapsed and self._state.freshness.no_recent_outage(now):
             # The peer mistook its own failed reads for an outage. The store was
             # available, so the removal is final.
             change = replace(change, lapsed=False)
@@ -436,7 +436,7 @@
         for known in self._known.values():
             known.offset = known.change_offset = Offset(-1)
         self._floor = Offset(0)
-        self._state.freshness.as_of = Offset(0)
+        self._state.freshness.known_offset = Offset(0)
         self._state.freshness.invalidate()
 
     def _finish_update(self) -> None:
--- a/poplarrelay/entry/endpoint_reader.py
+++ b/poplarrelay/entry/endpoint_reader.py
@@ -8,7 +8,7 @@
 from random import Random
 from time import monotonic
 
-from poplarrelay.entry.configuration_follower import Dependency
+from poplarrelay.entry.configuration_follower import DependencyLog
 from poplarrelay.entry.endpoint_list import EndpointList
 from poplarrelay.entry.list_freshness import ListFreshness
 from poplarrelay.exception import HistoryTrimmed, PlatformUnavailable
@@ -37,7 +37,7 @@
     ----------
     store : Store
         Client of the platform's store.
-    dependency : Dependency
+    dependency : DependencyLog
         Recorder of replies and failures.
     endpoints : EndpointList
         List to which the records are applied.
@@ -50,7 +50,7 @@
     def __init__(
         self,
         store: Store,
-        dependency: Dependency,
+        dependency: DependencyLog,
         endpoints: EndpointList,
         freshness: ListFreshness,
         announce: Callable[[float], None],
@@ -130,7 +130,7 @@
         self._freshness.note_read(sent_at, as_of)
 
     async def _read_incremental(self, sent_at: float) -> None:
-        start = self._freshness.as_of
+        start = self._freshness.known_offset
         page = await self._store.read(
             ENDPOINTS_TOPIC, 0, start, answer_s=self._answer_timeout_s()
         )
@@ -145,7 +145,7 @@
         if page.next >= page.end:
             self._freshness.note_read(sent_at, page.next)
         else:
-            self._freshness.as_of = max(self._freshness.as_of, page.next)
+            self._freshness.known_offset = max(self._freshness.known_offset, page.next)
 
     def _log(self, start: Offset | None, end: Offset, records: int) -> None:
         _LOG.info(
--- a/poplarrelay/entry/endpoints.py
+++ b/poplarrelay/entry/endpoints.py
@@ -23,7 +23,7 @@
         Failures since the last success.
     avoided_until : float
         Monotonic time until which other endpoints are preferred.
-    first_answer_s : float
+    first_byte_s : float
         Moving average of the time from sending a request to the first byte of its
         response; 0 before the first response.
     """
@@ -31,7 +31,7 @@
     failure_rate: float = 0.0
     failures_in_row: int = 0
     avoided_until: float = 0.0
-    first_answer_s: float = 0.0
+    first_byte_s: float = 0.0
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
         number of nodes.
     running : int
         Requests of this node that are running at the endpoint.
-    elsewhere : int
+    running_at_other_nodes : int
         Requests of the other nodes at the endpoint, by their latest reports.
     prefill_tokens : int
         Uncached tokens in this node's prompts that have had no first event yet.
@@ -73,13 +73,13 @@
         Start of this run of the endpoint, by the endpoint's own clock; None if unknown.
     limit_per_s : float or None
         Requests per second that the endpoint accepts from all nodes, None if unlimited.
-    limit_as_of : float
+    limit_updated_at : float
         Monotonic time at which the limit was last set, confirmed or cleared.
     permits : list of float
         Monotonic times at which the permits held by this node expire.
     next_permit_at : float
         Monotonic time at which the next permit is due, by the latest reply.
-    next_ask_at : float
+    next_permit_request_at : float
         Earliest monotonic time at which this node may request a permit.
     last_accepting_at : float
         Monotonic time of the last request whose response shows that the endpoint was
@@ -97,7 +97,7 @@
     leaves_at: float | None = None
     slot_share: int = 1_000_000
     running: int = 0
-    elsewhere: int = 0
+    running_at_other_nodes: int = 0
     prefill_tokens: int = 0
     other_nodes_prefill_tokens: int = 0
     prefill_reported_at: float = 0.0
@@ -105,10 +105,10 @@
     suspended_until: float | None = None
     started_ms: StartTime | None = None
     limit_per_s: float | None = None
-    limit_as_of: float = float("-inf")
+    limit_updated_at: float = float("-inf")
     permits: list[float] = field(default_factory=list)
     next_permit_at: float = float("-inf")
-    next_ask_at: float = float("-inf")
+    next_permit_request_at: float = float("-inf")
     last_accepting_at: float = float("-inf")
     health: Health = field(default_factory=Health)
 
@@ -120,7 +120,7 @@
     @property
     def load(self) -> int:
         """Return the number of requests of all nodes at the endpoint."""
-        return self.running + self.elsewhere
+        return self.running + self.running_at_other_nodes
 
     def update_backlog(self, other_nodes_tokens: int, speed: float, now: float) -> None:
         """Store a report of the coordinator that counts the endpoint's prompts."""
--- a/poplarrelay/entry/gossip.py
+++ b/poplarrelay/entry/gossip.py
@@ -12,7 +12,7 @@
 import orjson
 
 from poplarrelay.entry.backlog_client import BacklogClient
-from poplarrelay.entry.cells import Cell, CellSummary, cell_of, version_of
+from poplarrelay.entry.cells import Cell, CellSummary, cell_of, encoded_version
 from poplarrelay.entry.clock import ClusterClock
 from poplarrelay.entry.crashes import CrashTable
 from poplarrelay.entry.list_exchange import (
@@ -21,7 +21,7 @@
     ListAnnouncement,
     ListExchange,
 )
-from poplarrelay.entry.list_freshness import NEVER_S
+from poplarrelay.entry.list_freshness import MAX_REPORTED_AGE_S
 from poplarrelay.entry.peer_rows import PeerRow, decode_row, encode_row
 from poplarrelay.entry.peers import PeerTable
 from poplarrelay.entry.permits import PermitBroker
@@ -197,7 +197,7 @@
         summaries = [
             CellSummary.decode(raw)
             for raw in message.get("cells", ())
-            if table.is_newer_summary(*version_of(raw))
+            if table.is_newer_summary(*encoded_version(raw))
         ]
         announcement = ListAnnouncement.decode(message["hint"])
         self._clock.receive(message["from"], message["wall"], now)
@@ -435,7 +435,7 @@
         than the bound on leaving endpoints allows.
         """
         if self._exchange is None:
-            return ListAnnouncement(Offset(0), NEVER_S)
+            return ListAnnouncement(Offset(0), MAX_REPORTED_AGE_S)
         now = self._monotonic()
         if departures:
             return self._exchange.announcement(now)
--- a/poplarrelay/entry/health.py
+++ b/poplarrelay/entry/health.py
@@ -24,7 +24,7 @@
 FIRST_AVOIDANCE_S = 0.5
 #: Longest avoidance, in seconds, of a run that may be alive. An endpoint that has
 #: recovered gets requests again within this time.
-LONGEST_AVOIDANCE_S = 4.0
+MAX_AVOIDANCE_S = 4.0
 #: Avoidance, in seconds, of a run that has ended. It is longer than the lifetime of the
 #: run's record in the list.
 ENDED_RUN_AVOIDANCE_S = 30.0
@@ -42,9 +42,9 @@
 def note_success_time(row: Endpoint, took_s: float) -> None:
     """Update the moving time to the first byte of an answer."""
     health = row.health
-    if health.first_answer_s == 0.0:
-        health.first_answer_s = took_s
-    health.first_answer_s += ANSWER_TIME_WEIGHT * (took_s - health.first_answer_s)
+    if health.first_byte_s == 0.0:
+        health.first_byte_s = took_s
+    health.first_byte_s += ANSWER_TIME_WEIGHT * (took_s - health.first_byte_s)
 
 
 def note_failure(
@@ -85,7 +85,7 @@
         return False
     further_failures = max(0, health.failures_in_row - CONSECUTIVE_FAILURE_LIMIT)
     avoidance_s = min(
-        LONGEST_AVOIDANCE_S, FIRST_AVOIDANCE_S * 2 ** min(further_failures, 6)
+        MAX_AVOIDANCE_S, FIRST_AVOIDANCE_S * 2 ** min(further_failures, 6)
     )
     if run_ended:
         avoidance_s = ENDED_RUN_AVOIDANCE_S
--- a/poplarrelay/entry/host_directory.py
+++ b/poplarrelay/entry/host_directory.py
@@ -90,7 +90,7 @@
         records, _ = await self._store.newest(TOPIC)
         hosts = {NodeId(r.key): _decode_host(r) for r in records if r.key != me.node}
         self.hosts = {node: host for node, host in hosts.items() if host is not None}
-        self._state.listed = self.hosts.keys()
+        self._state.listed_nodes = self.hosts.keys()
 
 
 def _decode_host(record: KeyedRecord) -> str | None:
--- a/poplarrelay/entry/http/connection.py
+++ b/poplarrelay/entry/http/connection.py
@@ -12,10 +12,10 @@
 from poplarrelay.exception import ExchangeFailed
 
 __all__ = [
+    "CompleteResponse",
     "Connection",
     "Headers",
     "ResponseHead",
-    "WholeResponse",
     "fetch",
     "header_value",
 ]
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeResponse:
+class CompleteResponse:
     """A response that has arrived completely."""
 
     status: int
@@ -263,10 +263,10 @@
                 )
         return b"".join(parts)
 
-    async def whole_response(self, limit: int) -> WholeResponse:
+    async def complete_response(self, limit: int) -> CompleteResponse:
         """Wait for the complete response."""
         head = await self.response_head()
-        return WholeResponse(head.status, head.headers, await self.body(limit))
+        return CompleteResponse(head.status, head.headers, await self.body(limit))
 
     # after the response
 
@@ -321,11 +321,11 @@
     headers: Headers,
     body: bytes,
     limit: int,
-) -> WholeResponse:
+) -> CompleteResponse:
     """Send a request and return its response; abort the connection if that fails."""
     try:
         connection.send(method, target, headers, body)
-        return await connection.whole_response(limit)
+        return await connection.complete_response(limit)
     except BaseException:
         connection.abort()
         raise
--- a/poplarrelay/entry/http/pool.py
+++ b/poplarrelay/entry/http/pool.py
@@ -5,9 +5,9 @@
 from time import monotonic
 
 from poplarrelay.entry.http.connection import (
+    CompleteResponse,
     Connection,
     Headers,
-    WholeResponse,
     fetch,
 )
 
@@ -63,7 +63,7 @@
         self._opened += 1
         return await Connection.open(*address, self._connect_timeout_s)
 
-    def give_back(
+    def release(
         self, address: Address, connection: Connection, headers: Headers
     ) -> None:
         """Keep a connection after a complete response if it can be reused."""
@@ -106,7 +106,7 @@
 
     async def call(
         self, method: str, target: str, headers: Headers, body: bytes
-    ) -> WholeResponse:
+    ) -> CompleteResponse:
         """Send a request and return its response.
 
         Raises
@@ -121,7 +121,7 @@
         response = await fetch(
             connection, method.encode(), target.encode(), head, body, self._limit
         )
-        self._pool.give_back(self._address, connection, response.headers)
+        self._pool.release(self._address, connection, response.headers)
         return response
 
     def close(self) -> None:
--- a/poplarrelay/entry/list_exchange.py
+++ b/poplarrelay/entry/list_exchange.py
@@ -62,7 +62,7 @@
 
     Attributes
     ----------
-    as_of : Offset
+    known_offset : Offset
         The sender knows every record before this offset.
     age_s : float
         Age in seconds of the sender's list when the message was sent.
@@ -70,13 +70,13 @@
         Recent departures.
     """
 
-    as_of: Offset
+    known_offset: Offset
     age_s: float
     changes: tuple[EndpointChange, ...] = ()
 
     def encode(self) -> list[Any]:
         """Return a form for JSON."""
-        return [self.as_of, self.age_s, _encode_changes(self.changes)]
+        return [self.known_offset, self.age_s, _encode_changes(self.changes)]
 
     @classmethod
     def decode(cls, raw: list[Any]) -> ListAnnouncement:
@@ -113,23 +113,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangesReply:
-    """Reply with all changes between the requested offset and `as_of`.
+    """Reply with all changes between the requested offset and `known_offset`.
 
     Attributes
     ----------
     number : int
         Number of the request.
-    as_of : Offset
+    known_offset : Offset
         The reply contains every change before this offset.
     age_s : float or None
         Age in seconds of the sender's list when the reply was sent; None if the reply
         does not contain all changes that the sender knows.
     digest : str
-        Digest of the sender's list if the list ends exactly at `as_of`, else empty.
+        Digest of the sender's list if the list ends exactly at `known_offset`, else
+        empty.
     """
 
     number: int
-    as_of: Offset
+    known_offset: Offset
     age_s: float | None
     digest: str
     changes: tuple[EndpointChange, ...]
@@ -137,7 +138,7 @@
     def encode(self) -> list[Any]:
         """Return a form for JSON."""
         changes = _encode_changes(self.changes)
-        return [self.number, self.as_of, self.age_s, self.digest, changes]
+        return [self.number, self.known_offset, self.age_s, self.digest, changes]
 
     @classmethod
     def decode(cls, raw: list[Any]) -> ChangesReply:
@@ -267,7 +268,7 @@
     def plain_announcement(self, now: float) -> ListAnnouncement:
         """Return an announcement of offset and age, without departures."""
         return ListAnnouncement(
-            self.freshness.as_of, self.freshness.reported_age_s(now)
+            self.freshness.known_offset, self.freshness.reported_age_s(now)
         )
 
     def _departures_to_send(self) -> tuple[EndpointChange, ...]:
@@ -340,7 +341,7 @@
             del self._request_times[number]
         self._last_number += 1
         self._request_times[self._last_number] = now
-        since = self.freshness.as_of
+        since = self.freshness.known_offset
         earliest_lapse_offset = self.endpoints.earliest_lapse
         if earliest_lapse_offset is not None:
             since = min(since, earliest_lapse_offset)
@@ -365,7 +366,7 @@
         self.sender.send_changes_reply(host, self._build_reply(request, now))
 
     def _build_reply(self, request: ChangesRequest, now: float) -> ChangesReply:
-        as_of = self.freshness.as_of
+        as_of = self.freshness.known_offset
         changes = self.endpoints.since(request.since)
         if changes is None:
             return ChangesReply(request.number, Offset(0), None, "", ())
@@ -383,7 +384,7 @@
 
     def _exact_digest(self) -> str:
         """Return the digest of the list, empty if it also contains later records."""
-        later_changes = self.endpoints.since(self.freshness.as_of)
+        later_changes = self.endpoints.since(self.freshness.known_offset)
         return self.endpoints.digest if later_changes == [] else ""
 
     def receive_changes_reply(self, host: str, reply: ChangesReply, now: float) -> None:
@@ -395,20 +396,24 @@
             self.endpoints.apply_changes(reply.changes, host)
         if reply.age_s is None:
             # The changes exceed a datagram, or the peer no longer has the oldest ones.
-            self.freshness.as_of = max(self.freshness.as_of, reply.as_of)
+            self.freshness.known_offset = max(
+                self.freshness.known_offset, reply.known_offset
+            )
             self.freshness.behind = True
             return
-        self.freshness.confirm(requested_at - reply.age_s, reply.as_of, f"peer {host}")
+        self.freshness.confirm(
+            requested_at - reply.age_s, reply.known_offset, f"peer {host}"
+        )
         self._compare_digests(host, reply)
 
     def _compare_digests(self, host: str, reply: ChangesReply) -> None:
         """Resync if a peer that knows the same records has a different list."""
-        if not reply.digest or reply.as_of != self.freshness.as_of:
+        if not reply.digest or reply.known_offset != self.freshness.known_offset:
             return
         own_digest = self._exact_digest()
         if own_digest and own_digest != reply.digest:
             _LOG.error(
                 "lists differ",
-                extra={"peer": host, "as_of": reply.as_of, "digest": own_digest},
+                extra={"peer": host, "as_of": reply.known_offset, "digest": own_digest},
             )
             self.resync()
--- a/poplarrelay/entry/list_freshness.py
+++ b/poplarrelay/entry/list_freshness.py
@@ -9,7 +9,7 @@
 from poplarrelay.entry.settings import BoundSettings
 from poplarrelay.identifiers import Offset
 
-__all__ = ["NEVER_S", "ListFreshness", "ListTimes", "draw_read_age"]
+__all__ = ["MAX_REPORTED_AGE_S", "ListFreshness", "ListTimes", "draw_read_age"]
 
 #: The shares below divide the bound, the time after which a leaving endpoint gets no
 #: new requests. In the longest case they add up to less than one: a list that no peer
@@ -51,7 +51,7 @@
 MIN_READ_INTERVAL_S = 0.3
 _FIRST_OFFSET = Offset(0)
 #: Age in seconds reported for a list that was never confirmed; JSON has no infinity.
-NEVER_S = 1e9
+MAX_REPORTED_AGE_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
 
     Attributes
     ----------
-    as_of : Offset
+    known_offset : Offset
         This node knows every record of the endpoint topic before this offset.
     confirmed_at : float
         Monotonic time of this node at which the topic had no further records.
@@ -144,7 +144,7 @@
         Number of nodes that confirm each other's lists, including this one.
     peer_read_expected_until : float
         Monotonic time until which this node waits for a peer's read in progress.
-    steady_since : float
+    available_since : float
         Monotonic time since which the age of the list has never indicated an outage.
     trusted_from : float
         Monotonic time; confirmations for an earlier time are ignored.
@@ -163,7 +163,7 @@
 
     rng: Random
     times: ListTimes
-    as_of: Offset = _FIRST_OFFSET
+    known_offset: Offset = _FIRST_OFFSET
     confirmed_at: float = float("-inf")
     source: str = ""
     read_at: float = float("-inf")
@@ -171,7 +171,7 @@
     read_after_s: float = 0.0
     nodes: int = 1
     peer_read_expected_until: float = float("-inf")
-    steady_since: float = float("inf")
+    available_since: float = float("inf")
     trusted_from: float = float("-inf")
     on_confirm: Callable[[], None] | None = None
 
@@ -180,13 +180,13 @@
         return now - self.confirmed_at
 
     def reported_age_s(self, now: float) -> float:
-        """Return the finite age for logs and peers, at most `NEVER_S`."""
-        return min(self.age_s(now), NEVER_S)
+        """Return the finite age for logs and peers, at most `MAX_REPORTED_AGE_S`."""
+        return min(self.age_s(now), MAX_REPORTED_AGE_S)
 
-    def steady(self, now: float) -> bool:
+    def no_recent_outage(self, now: float) -> bool:
         """Return whether a recent outage of the store is ruled out."""
         confirmed = self.age_s(now) <= self.times.outage_s
-        return confirmed and now - self.steady_since > STEADY_S
+        return confirmed and now - self.available_since > STEADY_S
 
     def within_bound(self, now: float) -> bool:
         """Return whether a request sent now keeps the bound on leaving endpoints."""
@@ -210,11 +210,11 @@
         source : str
             Origin of the confirmation: the store or a peer.
         """
-        self.as_of = max(self.as_of, as_of)
+        self.known_offset = max(self.known_offset, as_of)
         if at <= self.confirmed_at or at < self.trusted_from:
             return
         if at - self.confirmed_at > self.times.outage_s:
-            self.steady_since = at
+            self.available_since = at
         self.confirmed_at = at
         self.source = source
         self.read_after_s = draw_read_age(self.times, self.nodes, self.rng)
--- a/poplarrelay/entry/node_handlers.py
+++ b/poplarrelay/entry/node_handlers.py
@@ -112,7 +112,7 @@
             "node": state.me.node,
             "state": state.me.state.value,
             "configuration": state.me.configuration,
-            "endpoints_as_of": state.freshness.as_of,
+            "endpoints_as_of": state.freshness.known_offset,
             "endpoints_age_s": round(state.freshness.reported_age_s(now), 2),
             "endpoints_vouched": state.freshness.within_bound(now),
             "endpoints_source": state.freshness.source,
@@ -141,7 +141,7 @@
                     "leaving": row.leaving,
                     "running": row.running,
                     "limit_per_s": row.limit_per_s,
-                    "elsewhere": row.elsewhere,
+                    "elsewhere": row.running_at_other_nodes,
                     "avoided": row.health.avoided_until > now,
                     "failure_rate": round(row.health.failure_rate, 3),
                 }
--- a/poplarrelay/entry/outcomes.py
+++ b/poplarrelay/entry/outcomes.py
@@ -126,7 +126,7 @@
     NO_ENDPOINT = "no endpoint of the service is known"
     FULL = "all endpoints are full"
     LIMITED = "all endpoints are at the limits that they state"
-    BEHIND = "the prompts in line would make it late"
+    QUEUE_TOO_LONG = "the prompts in line would make it late"
     NOT_RUN = "no endpoint took the request"
     UNKNOWN = "the endpoint broke off; the request may have run"
     CRASHES = "endpoints have crashed under this request"
--- a/poplarrelay/entry/peer_rows.py
+++ b/poplarrelay/entry/peer_rows.py
@@ -42,7 +42,7 @@
         IP address of the node; ports are the same on all nodes.
     usage : dict
         Number of requests that began, by window and team.
-    spent : dict
+    used : dict
         Quota that the node has used since its start, by team.
     loads : dict
         Number of the node's requests at each endpoint.
@@ -58,7 +58,7 @@
     state: NodeState
     configuration: ConfigurationVersion
     usage: dict[WindowNumber, dict[TeamId, int]] = field(default_factory=dict)
-    spent: dict[TeamId, float] = field(default_factory=dict)
+    used: dict[TeamId, float] = field(default_factory=dict)
     loads: dict[EndpointId, int] = field(default_factory=dict)
     demand: dict[ServiceName, int] = field(default_factory=dict)
 
@@ -78,7 +78,7 @@
         row.state.value,
         row.configuration,
         {str(window): counts for window, counts in row.usage.items()},
-        {team: round(spent) for team, spent in row.spent.items()},
+        {team: round(used) for team, used in row.used.items()},
         row.loads,
         row.demand,
     ]
@@ -87,7 +87,7 @@
 def decode_row(raw: list[Any]) -> PeerRow:
     """Return the row that a list encodes; raise `ValueError` if it encodes none."""
     node, incarnation, version, host, domain, state, configuration, usage, *rest = raw
-    spent, loads, demand = rest
+    used, loads, demand = rest
     return PeerRow(
         node=NodeId(node),
         incarnation=Incarnation(incarnation),
@@ -97,7 +97,7 @@
         state=NodeState(state),
         configuration=ConfigurationVersion(int(configuration)),
         usage={int(window): counts for window, counts in usage.items()},
-        spent=spent,
+        used=used,
         loads=loads,
         demand=demand,
     )
--- a/poplarrelay/entry/peer_sync.py
+++ b/poplarrelay/entry/peer_sync.py
@@ -18,7 +18,7 @@
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.identifiers import EndpointId, Offset
 
-__all__ = ["PeerSync", "STATE_PATH", "encode_state"]
+__all__ = ["STATE_PATH", "PeerSync", "encode_state"]
 
 _LOG = logging.getLogger("poplarrelay.entry.sync")
 
@@ -49,7 +49,7 @@
     """
     value: dict[str, Any] = {
         "endpoints_age_s": state.freshness.reported_age_s(monotonic()),
-        "endpoints_as_of": state.freshness.as_of,
+        "endpoints_as_of": state.freshness.known_offset,
         "endpoints": [
             [
                 change.endpoint,
--- a/poplarrelay/entry/peers.py
+++ b/poplarrelay/entry/peers.py
@@ -7,11 +7,11 @@
 
 from poplarrelay.entry.cells import (
     Cell,
+    CellMember,
     CellSummary,
-    Member,
     cell_bits,
     cell_of,
-    start_of,
+    process_start_ms,
     summarise,
 )
 from poplarrelay.entry.metering import WindowNumber
@@ -280,14 +280,14 @@
         ]
         return [seen.row.host for seen in sorted(late, key=lambda s: s.last_seen_at)]
 
-    def alive(self, now: float) -> list[PeerRow | Member]:
+    def alive(self, now: float) -> list[PeerRow | CellMember]:
         """Return the live nodes of this cell and of the other cells."""
-        found: list[PeerRow | Member] = list(self.alive_rows(now))
+        found: list[PeerRow | CellMember] = list(self.alive_rows(now))
         if self.summaries:
             found += self.alive_in_other_cells(now)
         return found
 
-    def alive_in_other_cells(self, now: float) -> list[Member]:
+    def alive_in_other_cells(self, now: float) -> list[CellMember]:
         """Return the live nodes of the other cells, from recent summaries."""
         alive_members = {
             member.node: member
@@ -321,7 +321,7 @@
         found.pop(self.me.node, None)
         return found
 
-    def counted(self, now: float) -> list[PeerRow | CellSummary]:
+    def rows_and_summaries(self, now: float) -> list[PeerRow | CellSummary]:
         """Return the rows of live nodes and recent summaries; each node counts once."""
         found: list[PeerRow | CellSummary] = list(self.alive_rows(now))
         for seen in self.summaries.values():
@@ -338,7 +338,7 @@
         would be wrong.
         """
         rows = [self.me, *(s.row for s in (*self.seen.values(), *self.replaced))]
-        starts = [start_of(row) for row in rows]
+        starts = [process_start_ms(row) for row in rows]
         starts += [seen.summary.started_ms for seen in self.summaries.values()]
         return min(starts) / 1000
 
--- a/poplarrelay/entry/permits.py
+++ b/poplarrelay/entry/permits.py
@@ -189,7 +189,7 @@
             if row.limit_per_s is None:
                 continue
             row.drop_expired_permits(now)
-            if not row.permits and now >= row.next_ask_at:
+            if not row.permits and now >= row.next_permit_request_at:
                 self._request_permit(row, row.limit_per_s, now)
 
     def _request_permit(self, row: Endpoint, per_s: float, now: float) -> None:
@@ -207,12 +207,12 @@
             self._unanswered[row.endpoint] = host, MAX_UNANSWERED - 1
             return
         self._unanswered[row.endpoint] = host, unanswered + 1
-        row.next_ask_at = now + REPLY_TIMEOUT_S
+        row.next_permit_request_at = now + REPLY_TIMEOUT_S
         message = [REQUEST, row.endpoint, row.started_ms, per_s]
         self.sender.send_permits([host], [message])
 
     def _apply_permit(self, row: Endpoint, permit: Permit, now: float) -> None:
-        row.next_ask_at = row.next_permit_at = now + permit.wait_s
+        row.next_permit_request_at = row.next_permit_at = now + permit.wait_s
         if permit.granted:
             row.permits.append(now + PERMIT_VALID_S)
 
@@ -244,7 +244,7 @@
         set_at = self.monotonic() - max(0.0, float(age_s))
         limit = None if per_s is None else max(0.0, float(per_s))
         row = self._find_row(endpoint, run)
-        if row is not None and set_at > row.limit_as_of:
+        if row is not None and set_at > row.limit_updated_at:
             set_limit(row, limit, set_at, f"peer {host}")
 
     def _receive_request(
--- a/poplarrelay/entry/process.py
+++ b/poplarrelay/entry/process.py
@@ -20,7 +20,7 @@
 from poplarrelay.entry.configuration_follower import (
     ConfigurationApplier,
     ConfigurationFollower,
-    Dependency,
+    DependencyLog,
 )
 from poplarrelay.entry.duty_worker import DutyWorker
 from poplarrelay.entry.endpoint_list import EndpointList
@@ -105,15 +105,15 @@
         self._store = Store(parse_address(settings.platform.store))
         self._metrics = EntryMetrics()
         self._pool = ConnectionPool(ENDPOINT_CONNECT_S)
-        self._endpoints_dependency = Dependency("store: endpoints")
-        self._configuration_dependency = Dependency("store: configuration")
+        self._endpoints_dependency = DependencyLog("store: endpoints")
+        self._configuration_dependency = DependencyLog("store: configuration")
         self._gossip = Gossip(
             self._state.peers,
             self._state.clock,
             self._on_peer_row,
             monotonic,
             self._rng,
-            self._on_summary,
+            self._on_new_summary,
         )
         self._backlog_client = BacklogClient(
             self._state.me.host, self._state.coordinators, self._gossip, monotonic
@@ -503,7 +503,7 @@
         _LOG.info(
             "status",
             extra={
-                "nodes_listed": len(self._state.listed or ()) + 1,
+                "nodes_listed": len(self._state.listed_nodes or ()) + 1,
                 "nodes_known": len(peers.states()) + 1,
                 "nodes_alive": len(peers.alive(now)) + 1,
                 "cell": [peers.bits, peers.cell.number, len(peers.seen) + 1],
@@ -565,8 +565,8 @@
             for team in configuration.teams.values():
                 state.bucket(team, monotonic())
         for bucket in state.buckets.values():
-            bucket.told = bucket.spent
-        me.spent = {team: bucket.spent for team, bucket in state.buckets.items()}
+            bucket.reported = bucket.used
+        me.used = {team: bucket.used for team, bucket in state.buckets.items()}
         me.demand = state.demand.rates(monotonic())
         me.loads = {
             row.endpoint: row.running
@@ -589,7 +589,7 @@
         self._refresh_own_row()
         self._gossip.broadcast_row()
 
-    def _on_summary(self, summary: CellSummary) -> None:
+    def _on_new_summary(self, summary: CellSummary) -> None:
         """Charge the teams' buckets with the usage of another cell."""
         state = self._state
         configuration = state.configuration
@@ -597,11 +597,11 @@
             return
         now = monotonic()
         cell, run, nodes = str(summary.cell), summary.run, summary.alive
-        for name, spent in summary.spent.items():
+        for name, used in summary.used.items():
             team = configuration.teams.get(name)
             bucket = None if team is None else state.bucket(team, now)
             if bucket is not None:
-                bucket.record_cell_usage(cell, run, spent, nodes, now)
+                bucket.record_cell_usage(cell, run, used, nodes, now)
 
     def _on_peer_row(self, row: PeerRow) -> None:
         """Charge the teams' buckets with the usage of another node of this cell."""
@@ -610,7 +610,7 @@
         configuration = self._state.configuration
         if configuration is None:
             return
-        for name, spent in row.spent.items():
+        for name, used in row.used.items():
             team = configuration.teams.get(name)
             if team is None:
                 continue
@@ -620,7 +620,7 @@
                 # so its first report is only a baseline. The usage of a younger process
                 # falls entirely in the lifetime of this bucket.
                 older = row.incarnation < self._state.me.incarnation
-                bucket.receive(reporter, spent, spent if older else 0.0, now)
+                bucket.receive(reporter, used, used if older else 0.0, now)
 
     def _on_change(self) -> None:
         if self._state.configuration is None:
--- a/poplarrelay/entry/quotas.py
+++ b/poplarrelay/entry/quotas.py
@@ -101,9 +101,9 @@
         Amount left; negative after late reports of other nodes' usage.
     refilled_to : float
         Monotonic time up to which this node's share of the refill is in the bucket.
-    spent : float
+    used : float
         Amount that this node has taken since it started; it is reported to the others.
-    told : float
+    reported : float
         Amount that has been reported to the others.
     remotes : dict of str to RemoteUsage
         Usage of other nodes, by node and incarnation, and of other cells, by cell.
@@ -125,8 +125,8 @@
 
     level: float
     refilled_to: float
-    spent: float = 0.0
-    told: float = 0.0
+    used: float = 0.0
+    reported: float = 0.0
     remotes: dict[str, RemoteUsage] = field(default_factory=dict)
 
     @classmethod
@@ -181,7 +181,7 @@
                 estimate += remote.usage_rate * max(0.0, now - remote.last_seen_at)
         return estimate
 
-    def tight(self, quota: Quota) -> bool:
+    def is_low(self, quota: Quota) -> bool:
         """Return whether the level is so low that usage is reported immediately."""
         return self.level < TIGHT_SHARE * quota.burst
 
@@ -222,13 +222,13 @@
         if available < needed:
             return OverQuota((needed - available) / (share * quota.per_s))
         self.level -= cost
-        self.spent += cost
+        self.used += cost
         return None
 
-    def give_back(self, cost: float) -> None:
+    def refund(self, cost: float) -> None:
         """Refund the cost of a request that did not run."""
         self.level += cost
-        self.spent -= cost
+        self.used -= cost
 
     def receive(self, reporter: str, total: float, baseline: float, now: float) -> None:
         """Record another node's report of its usage.
--- a/poplarrelay/entry/rate_limits.py
+++ b/poplarrelay/entry/rate_limits.py
@@ -49,7 +49,9 @@
     if not stated.readable:
         _LOG.warning("endpoint limit unreadable", extra={"endpoint": row.endpoint})
         return False
-    if stated.per_s is None and (row.limit_per_s is None or sent_at < row.limit_as_of):
+    if stated.per_s is None and (
+        row.limit_per_s is None or sent_at < row.limit_updated_at
+    ):
         # The request was sent before the limit was stated, so the answer does not
         # show that the limit was cleared.
         return False
@@ -59,11 +61,11 @@
 def set_limit(row: Endpoint, per_s: float | None, as_of: float, source: str) -> bool:
     """Set or clear an endpoint's limit, log a change, and return whether it changed."""
     before = row.limit_per_s
-    row.limit_per_s, row.limit_as_of = per_s, as_of
+    row.limit_per_s, row.limit_updated_at = per_s, as_of
     if before == per_s:
         return False
     # These times were computed from the previous limit.
-    row.next_ask_at = row.next_permit_at = -inf
+    row.next_permit_request_at = row.next_permit_at = -inf
     _LOG.info(
         "endpoint limit",
         extra={
--- a/poplarrelay/entry/relaying.py
+++ b/poplarrelay/entry/relaying.py
@@ -158,7 +158,7 @@
             team=team,
             priority=admitted.priority,
             service=choose_service(route, self._state.rng),
-            until=request.started_at + timeout_s,
+            deadline=request.started_at + timeout_s,
             version=configuration.version,
             progress=StreamProgress(request.last_event_id),
             teams_configured=bool(configuration.teams),
@@ -232,14 +232,14 @@
         refusal = self._refuse_blocked(context)
         if refusal is not None:
             return refusal
-        choice = await self.slot_allocator.take(context)
+        choice = await self.slot_allocator.acquire_slot(context)
         if isinstance(choice, Refusal):
             return choice
         # The caller's retries of this request can crash endpoints while it waits.
         refusal = self._refuse_blocked(context)
         if refusal is None:
             return choice
-        self.slot_allocator.leave(context.service, choice.endpoint)
+        self.slot_allocator.release_slot(context.service, choice.endpoint)
         return refusal
 
     def _refuse_blocked(self, context: RequestContext) -> Refusal | None:
@@ -298,11 +298,11 @@
         context.tried.append(row.endpoint)
         sent_at = monotonic()
         list_age_s = round(self._state.freshness.reported_age_s(sent_at), 2)
-        list_as_of = self._state.freshness.as_of
+        list_as_of = self._state.freshness.known_offset
         plan = AttemptPlan(
             endpoint=row,
-            until=context.until,
-            patience_s=None if last_attempt else self._silence_timeout(context),
+            deadline=context.deadline,
+            silence_timeout_s=None if last_attempt else self._silence_timeout(context),
             team=None if context.team is None else context.team.name,
             priority=context.priority if context.streams else None,
             fetch_from=choice.fetch_from,
@@ -354,7 +354,7 @@
                 self._backlog_client.remove_prompt(
                     row.endpoint, context.request.request, end
                 )
-            self.slot_allocator.leave(context.service, row)
+            self.slot_allocator.release_slot(context.service, row)
         if isinstance(result, NotRun):
             context.may_have_run = ran_before
         self._update_health(context, row, result)
@@ -417,7 +417,7 @@
         request = context.request
         if not request.prompt_tokens:
             return
-        self._state.demand.note_unread(
+        self._state.demand.note_uncached(
             context.service, request.prompt_tokens, choice.unread_tokens
         )
         parts = tuple(part.part for part in request.prefix[:-1])
--- a/poplarrelay/entry/request_context.py
+++ b/poplarrelay/entry/request_context.py
@@ -25,7 +25,7 @@
         The caller's team, None if the caller has none.
     priority : int
         Priority of the request; 0 is served first.
-    until : float
+    deadline : float
         Monotonic time of the request's deadline.
     version : int
         Version of the configuration that was in force when the request was admitted.
@@ -53,7 +53,7 @@
     team: Team | None
     priority: int
     service: ServiceName
-    until: float
+    deadline: float
     version: int
     progress: StreamProgress
     teams_configured: bool
@@ -68,7 +68,7 @@
     @property
     def remaining_s(self) -> float:
         """Return the seconds until the deadline."""
-        return self.until - monotonic()
+        return self.deadline - monotonic()
 
     @property
     def team_name(self) -> TeamId:
--- a/poplarrelay/entry/scaling.py
+++ b/poplarrelay/entry/scaling.py
@@ -34,7 +34,7 @@
 from poplarrelay.platform.cloud import (
     CloudClient,
     CloudOutcome,
-    DutyStamp,
+    DutyHolder,
     EndpointOrder,
 )
 
@@ -112,7 +112,7 @@
         state: EntryState,
         cloud: CloudClient,
         lease: DutyLease,
-        stamp: Callable[[], DutyStamp],
+        stamp: Callable[[], DutyHolder],
     ) -> None:
         self._state = state
         self._cloud = cloud
--- a/poplarrelay/entry/sizing.py
+++ b/poplarrelay/entry/sizing.py
@@ -63,10 +63,10 @@
     ----------
     rows : sequence of Endpoint
         Listed endpoints of the service.
-    needed, steady : float
+    needed, mean_needed : float
         Number of endpoints that the demand needs, without spare ones: at the last peak
         of the demand, and for its mean over some seconds.
-    least : int
+    min_endpoints : int
         Minimum number of endpoints, independent of the demand.
     exhausted_domains : collection of DomainId
         Domains in which no reclaimable endpoints are available now.
@@ -80,8 +80,8 @@
     limits: ScalingLimits
     rows: Sequence[Endpoint]
     needed: float
-    steady: float
-    least: int = MIN_ENDPOINTS
+    mean_needed: float
+    min_endpoints: int = MIN_ENDPOINTS
     exhausted_domains: Collection[DomainId] = ()
     overdue_domains: Collection[DomainId] = ()
     ordered: Mapping[DomainId, int] = field(default_factory=dict)
@@ -206,12 +206,12 @@
     serving_on_demand = {
         domain: count_serving(inputs.rows, domain, False) for domain in domains
     }
-    target = max(target_count(inputs.needed), inputs.least)
+    target = max(target_count(inputs.needed), inputs.min_endpoints)
     reclaimable = _plan_reclaimable(domains, target, serving, serving_on_demand, inputs)
     expected = {
         d: _count_expected(d, serving[d], reclaimable[d], inputs) for d in domains
     }
-    needed = max(MIN_ENDPOINTS, ceil(on_demand_share(limits) * inputs.steady))
+    needed = max(MIN_ENDPOINTS, ceil(on_demand_share(limits) * inputs.mean_needed))
     on_demand = {
         d: max(serving_on_demand[d], inputs.on_demand.get(d, 0)) for d in domains
     }
@@ -225,7 +225,9 @@
     }
     allocated = _allocate_on_demand(domains, count, on_demand, occupied, limits)
     return tuple(
-        DomainPlan(d, min(reclaimable[d], limits.most - allocated[d]), allocated[d])
+        DomainPlan(
+            d, min(reclaimable[d], limits.max_endpoints - allocated[d]), allocated[d]
+        )
         for d in domains
     )
 
@@ -257,12 +259,12 @@
     would be missing during the boot.
     """
     limits = inputs.limits
-    room = {d: max(0, limits.most - on_demand[d]) for d in domains}
+    room = {d: max(0, limits.max_endpoints - on_demand[d]) for d in domains}
     counts = {
         d: min(room[d], max(serving[d], inputs.ordered.get(d, 0))) for d in domains
     }
     open_domains = [d for d in domains if d not in inputs.exhausted_domains]
-    equal_share = max(1, limits.least, target // len(domains))
+    equal_share = max(1, limits.min_endpoints, target // len(domains))
     for domain in open_domains:
         counts[domain] = max(counts[domain], min(room[domain], equal_share))
     while sum(counts.values()) < target:
@@ -289,11 +291,11 @@
     """Return the number of on-demand endpoints per domain, ordered ones first."""
     allocated = dict.fromkeys(domains, 0)
     for domain in domains:
-        room = max(0, limits.most - reclaimable[domain])
+        room = max(0, limits.max_endpoints - reclaimable[domain])
         allocated[domain] = min(ordered[domain], missing, room)
         missing -= allocated[domain]
     for domain in domains:
-        room = max(0, limits.most - reclaimable[domain]) - allocated[domain]
+        room = max(0, limits.max_endpoints - reclaimable[domain]) - allocated[domain]
         more = min(missing, room)
         allocated[domain] += more
         missing -= more
--- a/poplarrelay/entry/slots.py
+++ b/poplarrelay/entry/slots.py
@@ -106,7 +106,7 @@
         )
         candidates = candidates or sample_candidates(rows, criteria, now, rng)
         prefix = context.request.prefix
-        views = await self._backlog_client.ask(
+        views = await self._backlog_client.request_backlogs(
             [row.endpoint for row in candidates], [part.part for part in prefix[:-1]]
         )
         now = monotonic()
@@ -137,7 +137,7 @@
                     retry_after_queue(forecast), context.remaining_s
                 )
                 detail = f"{forecast.queue_s:.2f} s queue time"
-                return Refusal(503, RefusalReason.BEHIND, wait_s, detail)
+                return Refusal(503, RefusalReason.QUEUE_TOO_LONG, wait_s, detail)
         choice.endpoint.acquire_slot()
         return choice
 
@@ -160,7 +160,7 @@
             rows = answered_since(rows, now - freshness.times.max_list_age_s)
         return [row for row in rows if row.suspended_until is None]
 
-    async def take(self, context: RequestContext) -> Choice | Refusal:
+    async def acquire_slot(self, context: RequestContext) -> Choice | Refusal:
         """Acquire a slot for a request; wait in the queue if no slot is free."""
         criteria = self._criteria(context, tuple(context.tried))
         choice: Choice | Refusal | None
@@ -227,7 +227,7 @@
             if future.done() and not future.cancelled():
                 outcome = future.result()
                 if not isinstance(outcome, PermitDenied):
-                    self.leave(context.service, outcome.endpoint)
+                    self.release_slot(context.service, outcome.endpoint)
             raise
         finally:
             future.cancel()
@@ -264,7 +264,7 @@
             if wait_s is not None and now + wait_s > queued.expires_at:
                 queued.future.set_result(PermitDenied(wait_s))
 
-    def leave(self, service: ServiceName, row: Endpoint) -> None:
+    def release_slot(self, service: ServiceName, row: Endpoint) -> None:
         """Release a slot and assign it to a queued request."""
         row.running -= 1
         self.dispatch_queued(service)
--- a/poplarrelay/entry/state.py
+++ b/poplarrelay/entry/state.py
@@ -49,7 +49,7 @@
         Whether the list of endpoints has been read at least once.
     stopping_at : float or None
         Monotonic time of the stop signal, None before the signal.
-    listed : collection of NodeId or None
+    listed_nodes : collection of NodeId or None
         Other nodes that the directory in the platform's store lists; None before it
         has been read.
     end_times : dict of ServiceName to deque of float
@@ -79,7 +79,7 @@
     demand: DemandMeter = field(default_factory=DemandMeter)
     crashes: CrashTable = field(default_factory=CrashTable)
     stopping_at: float | None = None
-    listed: Collection[NodeId] | None = None
+    listed_nodes: Collection[NodeId] | None = None
     recent_node_counts: list[tuple[float, int]] = field(default_factory=list)
 
     @classmethod
@@ -188,7 +188,7 @@
         """
         states = self.peers.states()
         stopped = sum(state is NodeState.STOPPED for state in states.values())
-        return 1 + max(len(states), len(self.listed or ())) - stopped
+        return 1 + max(len(states), len(self.listed_nodes or ())) - stopped
 
     def coordinators(self) -> dict[NodeId, str]:
         """Return the hosts of nodes that can be coordinators of endpoints."""
@@ -210,17 +210,17 @@
 
     def total_demand(self, service: ServiceName, now: float) -> float:
         """Return the demand of the callers of all nodes, in tokens per second."""
-        reports = [self.me, *self.peers.counted(now)]
+        reports = [self.me, *self.peers.rows_and_summaries(now)]
         return float(sum(report.demand.get(service, 0) for report in reports))
 
     def sum_loads(self, now: float) -> None:
         """Sum the other nodes' requests at each endpoint, and divide its slots."""
         nodes = self.count_nodes(now)
         for row in self.endpoints.rows.values():
-            row.elsewhere = 0
+            row.running_at_other_nodes = 0
             row.slot_share = max_slots_per_node(row.slots, nodes)
-        for report in self.peers.counted(now):
+        for report in self.peers.rows_and_summaries(now):
             for endpoint, count in report.loads.items():
                 found = self.endpoints.rows.get(endpoint)
                 if found is not None:
-                    found.elsewhere += count
+                    found.running_at_other_nodes += count
--- a/poplarrelay/entry/tests/test_backlogs.py
+++ b/poplarrelay/entry/tests/test_backlogs.py
@@ -7,7 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from poplarrelay.entry.backlog_client import SILENT_S, BacklogClient, choose_coordinator
+from poplarrelay.entry.backlog_client import (
+    UNANSWERED_PAUSE_S,
+    BacklogClient,
+    choose_coordinator,
+)
 from poplarrelay.entry.backlogs import (
     DOWN_S,
     EVICTION_TOKENS,
@@ -45,7 +49,7 @@
     # of 100 callers get their first event in time. With requests to the coordinators it
     # is 97. The target is 95.
     alone, asking = (
-        PrefillSimulation(6, (60_000.0,) * 5, asks=asks, seed=seed)
+        PrefillSimulation(6, (60_000.0,) * 5, requests_backlogs=asks, seed=seed)
         for asks in (False, True)
     )
     for simulation in (alone, asking):
@@ -190,13 +194,13 @@
         for engine in engines:
             first.add_prompt(Placement(engine, RequestId(f"r-{engine}"), 9_000, ("p",)))
         await asyncio.sleep(0.01)
-        views = await second.ask(engines, ("p",))
+        views = await second.request_backlogs(engines, ("p",))
         assert [views[e].tokens for e in engines] == [9_000] * 6
         assert [views[e].cached_parts for e in engines] == [1] * 6
         for engine in engines:
             first.remove_prompt(engine, RequestId(f"r-{engine}"), PromptEnd.BEGAN)
         await asyncio.sleep(0.01)
-        views = await third.ask(engines, ("p",))
+        views = await third.request_backlogs(engines, ("p",))
         assert [views[e].tokens for e in engines] == [0] * 6
 
     asyncio.run(scenario())
@@ -211,16 +215,16 @@
         asker = network.clients["h0"]
         engines = [EndpointId(f"e{i}") for i in range(12)]
         network.down.add("h2")
-        views = await asker.ask(engines, ())
+        views = await asker.request_backlogs(engines, ())
         missing = [e for e in engines if e not in views]
         assert missing
         assert len(missing) < 12
         network.sent.clear()
-        await asker.ask(engines, ())
+        await asker.request_backlogs(engines, ())
         assert all(host != "h2" for _, host, _ in network.sent)
         network.down.clear()
-        asker.monotonic = lambda: SILENT_S + 1.0
-        assert len(await asker.ask(engines, ())) == 12
+        asker.monotonic = lambda: UNANSWERED_PAUSE_S + 1.0
+        assert len(await asker.request_backlogs(engines, ())) == 12
 
     asyncio.run(scenario())
 
--- a/poplarrelay/entry/tests/test_beliefs_machine.py
+++ b/poplarrelay/entry/tests/test_beliefs_machine.py
@@ -7,7 +7,7 @@
 from poplarrelay.entry.budgets import RetryBudget
 from poplarrelay.entry.configuration import ServiceName
 from poplarrelay.entry.endpoints import Endpoint
-from poplarrelay.entry.health import LONGEST_AVOIDANCE_S, note_failure, note_success
+from poplarrelay.entry.health import MAX_AVOIDANCE_S, note_failure, note_success
 from poplarrelay.identifiers import DomainId, EndpointId
 
 RATIO, SLACK, WINDOW_S = 0.2, 20.0, 10.0
@@ -99,7 +99,7 @@
     @invariant()
     def no_endpoint_is_avoided_forever(self):
         for row in self.rows:
-            assert row.health.avoided_until <= self.now + LONGEST_AVOIDANCE_S
+            assert row.health.avoided_until <= self.now + MAX_AVOIDANCE_S
             row.running = 0
             assert row.free >= 1
 
--- a/poplarrelay/entry/tests/test_calls.py
+++ b/poplarrelay/entry/tests/test_calls.py
@@ -145,7 +145,14 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [Fault.RESET, Fault.HANG, Fault.SHORT, Fault.STRAY, Fault.NOISE]
+    "fault",
+    [
+        Fault.RESET,
+        Fault.HANG,
+        Fault.TRUNCATED,
+        Fault.WRONG_ATTEMPT_ID,
+        Fault.INVALID_BYTES,
+    ],
 )
 @pytest.mark.parametrize("path", ["/book/x", "/pay/x"])
 def test_booking_that_may_have_run_is_not_repeated_or_reported_as_not_run(fault, path):
@@ -208,7 +215,7 @@
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
-            runner.faults.append(Fault.EXTRA)
+            runner.faults.append(Fault.SECOND_RESPONSE)
             # Bookings are not retried, so a wrong answer cannot be corrected.
             for _ in range(4):
                 answer = await site.call("/book/x")
@@ -223,7 +230,7 @@
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
-            runner.faults.append(Fault.UNFRAMED)
+            runner.faults.append(Fault.NO_LENGTH)
             answer = await site.call("/look/x")
             assert answer.status == 200
             assert answer.body == runner.body_of(runner.ran[0].attempt)
--- a/poplarrelay/entry/tests/test_cells.py
+++ b/poplarrelay/entry/tests/test_cells.py
@@ -15,7 +15,7 @@
 from poplarrelay.entry.configuration import Quota
 from poplarrelay.entry.gossip import MAX_DATAGRAM_BYTES
 from poplarrelay.entry.list_exchange import ListAnnouncement
-from poplarrelay.entry.list_freshness import NEVER_S
+from poplarrelay.entry.list_freshness import MAX_REPORTED_AGE_S
 from poplarrelay.entry.peer_rows import NodeState, encode_row
 from poplarrelay.entry.peers import (
     CELL_SILENCE_S,
@@ -69,7 +69,7 @@
     # requests.
     network = make_network(3, settle_s=2.0)
     one, other = network.alive[:2]
-    network.rounds_lost = True
+    network.drop_rounds = True
     for _ in network.run(3.0):
         named = {row.host for row in network.tables[one].alive(network.now)}
         assert other in named
@@ -132,7 +132,7 @@
         if cell_of(node, table.bits) == cell
     )
     assert not table.receive(make_row(stranger), 10.0)
-    assert table.counted(10.0) == []
+    assert table.rows_and_summaries(10.0) == []
 
 
 def test_new_representative_refunds_no_usage():
@@ -215,7 +215,7 @@
     # until then.
     network = make_network(3, settle_s=2.0)
     node = network.nodes[network.alive[0]]
-    plain = ListAnnouncement(Offset(0), NEVER_S)
+    plain = ListAnnouncement(Offset(0), MAX_REPORTED_AGE_S)
     exchange: Any = Mock()
     exchange.announcement.return_value = exchange.plain_announcement.return_value = (
         plain
@@ -235,7 +235,7 @@
     rows = [encode_row(make_row(f"{rng.getrandbits(400):x}")) for _ in range(120)]
     network = make_network(3)
     node = network.nodes[network.alive[0]]
-    packets = node._packets(rows, [], ListAnnouncement(Offset(0), NEVER_S))
+    packets = node._packets(rows, [], ListAnnouncement(Offset(0), MAX_REPORTED_AGE_S))
     assert len(packets) > 1
     assert all(len(data) <= MAX_DATAGRAM_BYTES for data in packets)
     sent = [
@@ -297,13 +297,13 @@
         me.version += 1
         counted = [*self.rows, *self.ended]
         summary = summarise(Cell(1, 0), me, self.rows, counted, me.version, self.epoch)
-        spent = summary.spent.get(TEAM, 0.0)
-        self.bucket.record_cell_usage("c", summary.run, spent, summary.alive, self.now)
+        used = summary.used.get(TEAM, 0.0)
+        self.bucket.record_cell_usage("c", summary.run, used, summary.alive, self.now)
 
     @rule(node=st.integers(0, 2), cost=st.integers(1, 50))
     def use_quota(self, node, cost):
         row = self.rows[node]
-        row.spent[TEAM] = row.spent.get(TEAM, 0.0) + cost
+        row.used[TEAM] = row.used.get(TEAM, 0.0) + cost
         self.used += cost
 
     @rule(node=st.integers(0, 2))
--- a/poplarrelay/entry/tests/test_crashing_requests.py
+++ b/poplarrelay/entry/tests/test_crashing_requests.py
@@ -165,7 +165,7 @@
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
             await site.ready(endpoints=1)
-            for fault in (Fault.HANG, Fault.SHED, Fault.ERROR, Fault.NOISE):
+            for fault in (Fault.HANG, Fault.SHED, Fault.ERROR, Fault.INVALID_BYTES):
                 runner.faults.append(fault)
                 await site.call("/pay/x", body=CRASHING_BODY)
             runner.faults.append(Fault.HANG)
--- a/poplarrelay/entry/tests/test_decisions.py
+++ b/poplarrelay/entry/tests/test_decisions.py
@@ -42,7 +42,7 @@
 
 class TestChoice:
     def test_full_endpoints_are_not_chosen(self):
-        rows = [endpoint("a", running=8), endpoint("b", elsewhere=8)]
+        rows = [endpoint("a", running=8), endpoint("b", running_at_other_nodes=8)]
         assert choose_endpoint(rows, criteria(), 0.0, Random(1)) is None
 
     def test_avoided_endpoint_is_used_only_if_no_other_is_free(self):
@@ -105,7 +105,9 @@
         # and 40 others have five requests each. When all nodes chose the least loaded
         # engine, it got every request of that second, and its callers waited seconds
         # for their first event.
-        rows = [endpoint(f"e{i}", slots=24, elsewhere=5) for i in range(40)]
+        rows = [
+            endpoint(f"e{i}", slots=24, running_at_other_nodes=5) for i in range(40)
+        ]
         rows.append(endpoint("new", slots=24))
         counts: dict[str, int] = {}
         for number in range(300):
--- a/poplarrelay/entry/tests/test_freshness.py
+++ b/poplarrelay/entry/tests/test_freshness.py
@@ -85,7 +85,7 @@
         peer.exchange.tick(peer.now())
         lists.now += 3.0
         lists.deliver_next(ListAnnouncement)
-        assert not asker.uses("r1")
+        assert not asker.accepts_work_at("r1")
         assert asker.confirmed_at == before
         assert [type(envelope.message) for envelope in lists.in_transit] == [
             ChangesRequest
@@ -106,11 +106,11 @@
         while lists.in_transit:
             lists.deliver()
         assert asker.confirmed_at == before
-        assert 2 < asker.state.freshness.as_of < lists.topic.end
+        assert 2 < asker.state.freshness.known_offset < lists.topic.end
         assert asker.state.freshness.due_in_s(asker.now()) <= 0
         lists.now += 0.1
         asker.read()
-        assert asker.uses("n199")
+        assert asker.accepts_work_at("n199")
 
     def test_reply_to_a_request_from_before_a_freeze_confirms_nothing(self):
         # The process and its clock are frozen while a reply waits in the socket, so the
@@ -201,8 +201,8 @@
     lists.write("r1", endpoint_record("draining"))
     lists.nodes["n0"].read()
     lists.run(0.4, step_s=0.02, latency_s=0.01)
-    assert sum(node.uses("r1") for node in lists.nodes.values()) == 0
-    assert all(node.uses("r2") for node in lists.nodes.values())
+    assert sum(node.accepts_work_at("r1") for node in lists.nodes.values()) == 0
+    assert all(node.accepts_work_at("r2") for node in lists.nodes.values())
 
 
 def test_reader_gets_few_requests_and_sends_small_replies():
@@ -234,7 +234,7 @@
     lists = network(count)
     for node in lists.nodes.values():
         node.state.freshness.nodes = count
-    lists.run(12.0, step_s=0.005, latency_s=0.01, answer_after_s=answer_s)
+    lists.run(12.0, step_s=0.005, latency_s=0.01, reply_delay_s=answer_s)
     alone = count * 12.0 / 1.2
     assert sum(node.reads for node in lists.nodes.values()) < 0.5 * alone
     oldest_at = min(node.confirmed_at for node in lists.nodes.values())
@@ -281,9 +281,9 @@
             sync = PeerSync(state, node.endpoints, control_port=1)
             host = state.peers.alive(monotonic())[0].host
             now = monotonic()
-            state.freshness.note_read(now, state.freshness.as_of)
+            state.freshness.note_read(now, state.freshness.known_offset)
             announcement = ListAnnouncement(
-                Offset(state.freshness.as_of + 100), age_s=0.0
+                Offset(state.freshness.known_offset + 100), age_s=0.0
             )
             node.exchange.receive_announcement(host, announcement, now + 0.1)
             assert sync.peer_to_ask(now + 0.1) is None
--- a/poplarrelay/entry/tests/test_limited_endpoints.py
+++ b/poplarrelay/entry/tests/test_limited_endpoints.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from poplarrelay.entry.http.connection import WholeResponse, header_value
+from poplarrelay.entry.http.connection import CompleteResponse, header_value
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.identifiers import EndpointId
 from poplarrelay.standins.users.runner import RunnerStandIn
@@ -20,7 +20,7 @@
     run_entry_site,
     run_scenario,
 )
-from poplarrelay.testing.permits import allowed, max_in_window
+from poplarrelay.testing.permits import max_in_window, max_requests_in_window
 
 #: Seconds after which all nodes must keep to a newly stated limit.
 KNOWN_S = 3.0
@@ -71,7 +71,9 @@
             start = monotonic()
             statuses = await send_calls(site, path, per_s=50, for_s=8.0)
             times = [request.at for request in runners[0].received]
-            assert max_in_window(times, start + KNOWN_S) <= allowed(limit)
+            assert max_in_window(times, start + KNOWN_S) <= max_requests_in_window(
+                limit
+            )
             # The limit is used, and the other endpoints serve the remaining requests.
             assert any(at >= start + KNOWN_S for at in times)
             assert statuses.count(200) == len(statuses)
@@ -86,7 +88,7 @@
             runners = await add_endpoints(site, CALLS, ["2", "2"])
             await send_calls(site, "/look/x", per_s=10, for_s=1.0)
             start = monotonic()
-            calls: list[asyncio.Task[WholeResponse]] = []
+            calls: list[asyncio.Task[CompleteResponse]] = []
             while monotonic() < start + 6.0:
                 call = site.call("/look/x", "abc"[len(calls) % 3])
                 calls.append(asyncio.create_task(call))
@@ -99,7 +101,7 @@
             assert len(refused) < len(answers)
             for runner in runners:
                 at = [request.at for request in runner.received]
-                assert max_in_window(at, start + KNOWN_S) <= allowed(2.0)
+                assert max_in_window(at, start + KNOWN_S) <= max_requests_in_window(2.0)
 
     run_scenario(scenario)
 
@@ -115,7 +117,7 @@
             start = monotonic()
             await send_calls(site, "/look/x", per_s=30, for_s=5.0)
             late = [r.at for r in runners[0].received if r.at >= start]
-            assert max_in_window(late, start) <= allowed(6.0)
+            assert max_in_window(late, start) <= max_requests_in_window(6.0)
             limits = {
                 node.state.endpoints.rows[EndpointId("r0")].limit_per_s
                 for node in site.nodes.values()
@@ -160,7 +162,7 @@
             start = monotonic()
             await send_calls(site, "/draft/x", per_s=30, for_s=8.0)
             times = [request.at for request in runners[0].received]
-            assert max_in_window(times, start + KNOWN_S) <= allowed(1.0)
+            assert max_in_window(times, start + KNOWN_S) <= max_requests_in_window(1.0)
 
     run_scenario(scenario)
 
@@ -178,7 +180,7 @@
             await site.kill_and_restart_process("b")
             await sending
             times = [request.at for request in runners[0].received]
-            assert max_in_window(times, start + KNOWN_S) <= allowed(2.0)
+            assert max_in_window(times, start + KNOWN_S) <= max_requests_in_window(2.0)
             assert any(at > start + 2 * KNOWN_S for at in times)
 
     run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_lists.py
+++ b/poplarrelay/entry/tests/test_lists.py
@@ -46,8 +46,8 @@
     lists.write("r3", endpoint_record())
     mine.read()
     older = peer.endpoints.all()
-    mine.endpoints.replace_all(older, peer.state.freshness.as_of, "peer")
-    assert mine.uses("r3")
+    mine.endpoints.replace_all(older, peer.state.freshness.known_offset, "peer")
+    assert mine.accepts_work_at("r3")
 
 
 def test_older_peer_list_does_not_restore_removed_endpoints():
@@ -58,9 +58,9 @@
     lists.write("r1", None)
     lists.write("r2", endpoint_record("draining"))
     mine.read()
-    mine.endpoints.replace_all(older, peer.state.freshness.as_of, "peer")
-    assert not mine.uses("r1")
-    assert not mine.uses("r2")
+    mine.endpoints.replace_all(older, peer.state.freshness.known_offset, "peer")
+    assert not mine.accepts_work_at("r1")
+    assert not mine.accepts_work_at("r2")
 
 
 def test_newer_peer_list_removes_missing_endpoints():
@@ -69,9 +69,11 @@
     mine, peer = lists.nodes.values()
     lists.write("r1", None)
     peer.read(whole=True)
-    mine.endpoints.replace_all(peer.endpoints.all(), peer.state.freshness.as_of, "peer")
-    assert not mine.uses("r1")
-    assert mine.uses("r2")
+    mine.endpoints.replace_all(
+        peer.endpoints.all(), peer.state.freshness.known_offset, "peer"
+    )
+    assert not mine.accepts_work_at("r1")
+    assert mine.accepts_work_at("r2")
 
 
 def test_heartbeat_read_only_by_this_node_keeps_endpoint():
@@ -79,12 +81,12 @@
     # changes nothing, but is later than a peer's list without the endpoint.
     lists = network()
     mine, peer = lists.nodes.values()
-    as_of = peer.state.freshness.as_of
+    as_of = peer.state.freshness.known_offset
     lists.write("r1", endpoint_record(sequence=2))
     mine.read()
     others = [change for change in peer.endpoints.all() if change.endpoint != "r1"]
     mine.endpoints.replace_all(others, as_of, "peer")
-    assert mine.uses("r1")
+    assert mine.accepts_work_at("r1")
 
 
 def test_peer_corrects_removal_mistaken_for_outage_lapse():
@@ -100,9 +102,9 @@
     mine.reads_failed_s = 4.0
     mine.read()
     mine.reads_failed_s = 0.0
-    assert mine.uses("r1")
+    assert mine.accepts_work_at("r1")
     lists.run(0.3, step_s=0.02, latency_s=0.01)
-    assert not mine.uses("r1")
+    assert not mine.accepts_work_at("r1")
 
 
 def test_failed_reads_of_one_node_keep_no_removed_endpoint():
@@ -125,9 +127,9 @@
     first.reads_failed_s = 0.87
     first.read()
     first.reads_failed_s = 0.0
-    assert first.uses("r1")
+    assert first.accepts_work_at("r1")
     lists.run(0.3, step_s=0.02, latency_s=0.01)
-    assert not any(node.uses("r1") for node in lists.nodes.values())
+    assert not any(node.accepts_work_at("r1") for node in lists.nodes.values())
 
 
 def test_record_lapsed_on_all_nodes_is_kept_for_grace_time():
@@ -141,11 +143,11 @@
         node.read()
         node.reads_failed_s = 0.0
     lists.run(LAPSE_GRACE_S - 0.5, step_s=0.02, latency_s=0.01)
-    assert all(node.uses("r1") for node in lists.nodes.values())
+    assert all(node.accepts_work_at("r1") for node in lists.nodes.values())
     lists.now += 0.6
     for node in lists.nodes.values():
         node.endpoints.expire(node.now())
-    assert not any(node.uses("r1") for node in lists.nodes.values())
+    assert not any(node.accepts_work_at("r1") for node in lists.nodes.values())
 
 
 def test_second_lapse_report_does_not_end_grace_time():
@@ -158,7 +160,7 @@
     for offset in (5, 6):
         lapse = EndpointChange(R1, Offset(offset), None, lapsed=True)
         mine.endpoints.apply_changes([lapse], "peer")
-    assert mine.uses("r1")
+    assert mine.accepts_work_at("r1")
 
 
 def test_new_run_under_same_id_resets_all_state():
@@ -206,7 +208,7 @@
     lists.write("r1", None)
     lists.write("r1", endpoint_record(born=1000))
     mine.read()
-    assert not mine.uses("r1")
+    assert not mine.accepts_work_at("r1")
 
 
 def test_unreadable_record_removes_only_its_endpoint(caplog):
@@ -217,15 +219,15 @@
     for sequence in range(3):
         lists.write("r1", endpoint_record(slots="many", sequence=sequence))
         mine.read()
-    assert not mine.uses("r1")
-    assert mine.uses("r2")
+    assert not mine.accepts_work_at("r1")
+    assert mine.accepts_work_at("r2")
     assert list(mine.endpoints.unreadable) == [R1]
     assert caplog.text.count("endpoint unreadable") == 1
     lists.run(0.3, step_s=0.02, latency_s=0.01)
-    assert not peer.uses("r1")
+    assert not peer.accepts_work_at("r1")
     lists.write("r1", endpoint_record())
     mine.read()
-    assert mine.uses("r1")
+    assert mine.accepts_work_at("r1")
     assert not mine.endpoints.unreadable
 
 
@@ -304,7 +306,7 @@
     @rule(number=st.integers(0, 3))
     def keep_whole_list(self, number):
         node = self.node(number)
-        self.kept.append((node.endpoints.all(), node.state.freshness.as_of))
+        self.kept.append((node.endpoints.all(), node.state.freshness.known_offset))
 
     @precondition(lambda self: self.kept)
     @rule(number=st.integers(0, 3), data=st.data())
@@ -324,8 +326,8 @@
         topic = self.lists.topic
         for node in self.lists.nodes.values():
             for name in ("r1", "r2", "r3"):
-                in_time = topic.written(name, node.confirmed_at - 1e-6)
-                as_of = node.state.freshness.as_of
+                in_time = topic.last_offset_before(name, node.confirmed_at - 1e-6)
+                as_of = node.state.freshness.known_offset
                 before = [
                     offset
                     for offset, (_, key, _) in enumerate(topic.records[:as_of])
--- a/poplarrelay/entry/tests/test_nodes.py
+++ b/poplarrelay/entry/tests/test_nodes.py
@@ -69,7 +69,7 @@
             assert (b"Connection", b"close") in answer.headers
             body = await connection.body(1_000_000)
             assert body.endswith(runner.event_of(20))
-            await site.end_node("b")
+            await site.wait_until_ended("b")
 
     run_scenario(scenario)
 
@@ -105,7 +105,7 @@
             await poll_until(lambda: runner.received)
             site.nodes["a"].stop()
             async with asyncio.timeout(3):
-                await site.end_node("a")
+                await site.wait_until_ended("a")
 
     run_scenario(scenario)
 
--- a/poplarrelay/entry/tests/test_permits.py
+++ b/poplarrelay/entry/tests/test_permits.py
@@ -15,8 +15,8 @@
     ENDPOINT,
     WINDOW_S,
     PermitNetwork,
-    allowed,
     max_in_window,
+    max_requests_in_window,
 )
 from poplarrelay.testing.rows import make_network
 
@@ -76,18 +76,18 @@
 def test_all_nodes_together_keep_to_a_limit_and_use_it(nodes, limit):
     # Guards against a burst of one request per node, and against shares of the limit
     # that are too small to use.
-    network = PermitNetwork.starting(nodes, loss=0.025)
+    network = PermitNetwork.create(nodes, loss=0.025)
     network.state_limit("host-0", limit)
     for _ in network.run(12.0):
         pass
     times = network.request_times()
-    assert max_in_window(times) <= allowed(limit)
+    assert max_in_window(times) <= max_requests_in_window(limit)
     assert len(times) >= 0.6 * limit * 12.0
 
 
 @pytest.mark.parametrize("nodes", [9, 61])
 def test_partitioned_groups_keep_to_the_limit_together(nodes):
-    network = PermitNetwork.starting(nodes)
+    network = PermitNetwork.create(nodes)
     network.state_limit("host-0", 5.0)
     for _ in network.run(6.0):
         pass
@@ -96,7 +96,7 @@
     for _ in network.run(8.0):
         pass
     times = network.request_times()
-    assert max_in_window(times) <= allowed(5.0)
+    assert max_in_window(times) <= max_requests_in_window(5.0)
     # When the nodes have detected the partition, the shares of both groups add up to
     # the limit.
     late = [at for at in times if at > network.now - WINDOW_S]
@@ -104,7 +104,7 @@
 
 
 def test_another_node_takes_over_from_an_unreachable_issuer():
-    network = PermitNetwork.starting(9)
+    network = PermitNetwork.create(9)
     network.state_limit("host-0", 5.0)
     for _ in network.run(4.0):
         pass
@@ -113,7 +113,7 @@
     for _ in network.run(8.0):
         pass
     times = network.request_times()
-    assert max_in_window(times) <= allowed(5.0)
+    assert max_in_window(times) <= max_requests_in_window(5.0)
     assert len([at for at in times if at > network.now - WINDOW_S]) >= 10
 
 
@@ -129,7 +129,7 @@
 
 
 def test_cleared_limit_is_broadcast_to_all_nodes():
-    network = PermitNetwork.starting(9)
+    network = PermitNetwork.create(9)
     network.state_limit("host-0", 5.0)
     for _ in network.run(1.0):
         pass
@@ -142,7 +142,7 @@
 
 def test_raised_limit_is_used_at_once_by_all_nodes():
     # Guards against nodes that keep wait times computed from the previous limit.
-    network = PermitNetwork.starting(9)
+    network = PermitNetwork.create(9)
     network.state_limit("host-0", 0.0)
     for _ in network.run(3.0):
         pass
@@ -155,7 +155,7 @@
 
 
 def test_limit_of_an_earlier_run_is_ignored():
-    network = PermitNetwork.starting(2)
+    network = PermitNetwork.create(2)
     broker, row = network.brokers["host-0"], network.rows["host-0"]
     row.started_ms = StartTime(7)
     broker.receive("host-1", [["limit", ENDPOINT, 6, 1.0, 0.0]])
@@ -178,7 +178,7 @@
 def test_malformed_messages_are_ignored(message, caplog):
     network = make_network(2, settle_s=2.0)
     one, other = network.alive
-    permits = PermitNetwork.starting(2)
+    permits = PermitNetwork.create(2)
     network.nodes[other].attach_permits(permits.brokers["host-0"])
     network.nodes[one].send_permits([other], [message])
     network.step()
--- a/poplarrelay/entry/tests/test_places.py
+++ b/poplarrelay/entry/tests/test_places.py
@@ -67,8 +67,10 @@
     async def scenario():
         slot_allocator, _, state = make_slot_allocator([2.0, 2.0])
         for row in state.endpoints.rows.values():
-            row.next_permit_at = row.next_ask_at = monotonic() + 0.6
-        call = asyncio.create_task(slot_allocator.take(make_request_context(SERVICE)))
+            row.next_permit_at = row.next_permit_request_at = monotonic() + 0.6
+        call = asyncio.create_task(
+            slot_allocator.acquire_slot(make_request_context(SERVICE))
+        )
         await run_other_tasks()
         refusal = call.result()
         assert isinstance(refusal, Refusal)
@@ -83,7 +85,9 @@
     async def scenario():
         slot_allocator, broker, _ = make_slot_allocator([50.0, 50.0])
         queued = [
-            asyncio.create_task(slot_allocator.take(make_request_context(SERVICE)))
+            asyncio.create_task(
+                slot_allocator.acquire_slot(make_request_context(SERVICE))
+            )
             for _ in range(3)
         ]
         await run_other_tasks()
@@ -103,7 +107,9 @@
     # Guards against permits that expire unused while calls wait for them.
     async def scenario():
         slot_allocator, broker, state = make_slot_allocator([2.0])
-        queued = asyncio.create_task(slot_allocator.take(make_request_context(SERVICE)))
+        queued = asyncio.create_task(
+            slot_allocator.acquire_slot(make_request_context(SERVICE))
+        )
         await run_other_tasks()
         broker.receive("elsewhere", [["permit", "e0", None, 0.0]])
         await run_other_tasks()
@@ -120,7 +126,7 @@
     async def scenario():
         slot_allocator, _, _ = make_slot_allocator([2.0, None])
         for _ in range(8):
-            choice = await slot_allocator.take(make_request_context(SERVICE))
+            choice = await slot_allocator.acquire_slot(make_request_context(SERVICE))
             assert not isinstance(choice, Refusal)
             assert choice.endpoint.endpoint == "e1"
 
--- a/poplarrelay/entry/tests/test_quotas.py
+++ b/poplarrelay/entry/tests/test_quotas.py
@@ -33,10 +33,8 @@
             for sender in group:
                 for receiver in group:
                     if sender != receiver:
-                        spent = self.buckets[sender].spent
-                        self.buckets[receiver].receive(
-                            str(sender), spent, 0.0, self.now
-                        )
+                        used = self.buckets[sender].used
+                        self.buckets[receiver].receive(str(sender), used, 0.0, self.now)
 
     def run(self, seconds, cost, groups):
         """Send one request to every node in each step."""
@@ -94,7 +92,7 @@
     for _ in range(50):
         assert isinstance(bucket.take(QUOTA, 500.0, 0.0, 1), OverQuota)
     assert bucket.level == 10.0
-    assert bucket.spent == 990.0
+    assert bucket.used == 990.0
 
 
 def test_lower_quota_takes_effect_immediately():
@@ -127,7 +125,7 @@
         for sender, bucket in enumerate(buckets):
             for receiver in buckets:
                 if receiver is not bucket:
-                    receiver.receive(str(sender), bucket.spent, 0.0, now)
+                    receiver.receive(str(sender), bucket.used, 0.0, now)
         bucket = buckets[index]
         over = bucket.take(QUOTA, cost, now, 3)
         assert bucket.level <= QUOTA.burst
@@ -136,5 +134,5 @@
         now += over.retry_after_s + 0.01
         for sender, other in enumerate(buckets):
             if other is not bucket:
-                bucket.receive(str(sender), other.spent, 0.0, now)
+                bucket.receive(str(sender), other.used, 0.0, now)
         assert bucket.take(QUOTA, cost, now, 3) is None
--- a/poplarrelay/entry/tests/test_sizing.py
+++ b/poplarrelay/entry/tests/test_sizing.py
@@ -67,7 +67,9 @@
             plan = plan_endpoints(
                 make_sizing_input(present, 100.0, exhausted_domains=exhausted_domains)
             )
-            assert all(p.reclaimable + p.on_demand <= LIMITS.most for p in plan)
+            assert all(
+                p.reclaimable + p.on_demand <= LIMITS.max_endpoints for p in plan
+            )
 
 
 def test_initial_on_demand_endpoints_are_replaced_by_reclaimable_ones():
@@ -83,9 +85,13 @@
     # Guards against the loss of initial capacity before the first request. As many
     # reclaimable endpoints are ordered as the six on-demand ones, two of which are kept
     # until the others serve.
-    initial = plan_endpoints(make_sizing_input(make_rows("", "aabbcc"), 0.0, least=6))
+    initial = plan_endpoints(
+        make_sizing_input(make_rows("", "aabbcc"), 0.0, min_endpoints=6)
+    )
     assert totals(initial)[0] >= 3
-    served = plan_endpoints(make_sizing_input(make_rows("aabbcc"), 0.0, least=6))
+    served = plan_endpoints(
+        make_sizing_input(make_rows("aabbcc"), 0.0, min_endpoints=6)
+    )
     assert totals(served) == (6, 0)
 
 
@@ -268,7 +274,7 @@
     # prompts cached, and a tenth of the engines is enough.
     meter = DemandMeter()
     for _ in range(400):
-        meter.note_unread(ServiceName("s"), 10_000, 1_000)
+        meter.note_uncached(ServiceName("s"), 10_000, 1_000)
     for step in range(50):
         meter.note(ServiceName("s"), 10_000, 0, step * 0.1)
     assert meter.rates(5.0)[ServiceName("s")] == pytest.approx(10_000, rel=0.05)
--- a/poplarrelay/entry/tests/test_streams.py
+++ b/poplarrelay/entry/tests/test_streams.py
@@ -103,7 +103,7 @@
             healthy = next(runner for runner in runners if runner is not hanging)
             healthy.faults.clear()
             async with asyncio.timeout(10):
-                response = await connection.whole_response(100_000)
+                response = await connection.complete_response(100_000)
             assert response.status == 200
             assert len(healthy.ran) == 1
             await poll_until(lambda: not hanging._writers, "first connection closed")
@@ -119,7 +119,9 @@
             connection = await site.open("/draft/x")
             await connection.response_head()
             connection.abort()
-            await poll_until(lambda: runner.cut, "stream cut at the endpoint")
+            await poll_until(
+                lambda: runner.disconnected_attempts, "stream cut at the endpoint"
+            )
 
     run_scenario(scenario)
 
--- a/poplarrelay/messages/effects.py
+++ b/poplarrelay/messages/effects.py
@@ -78,7 +78,7 @@
     attempt: Attempt
     work: Work
     team: TeamId
-    urgency: int
+    priority: int
     deferred: bool = False
     keyed: bool = False
 
@@ -136,13 +136,13 @@
 
     Attributes
     ----------
-    until : float
+    expires_at : float
         Monotonic time after which the append is not sent.
     """
 
     stream: StreamName
     value: RecordValue
-    until: float
+    expires_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -267,7 +267,7 @@
     request: RequestId
     peer: str
     incarnation: str
-    stored: RequestMessage
+    message: RequestMessage
     timeout_s: float
 
 
--- a/poplarrelay/messages/questions.py
+++ b/poplarrelay/messages/questions.py
@@ -68,7 +68,7 @@
     ----------
     after : int or None
         Log offset of the change that the operator has seen in force, None for none.
-    checked : bool
+    check_after : bool
         Whether the operator stated `after`. If not, the change replaces the one that
         is in force at its position in the log.
     """
@@ -77,7 +77,7 @@
     subject: str
     body: dict[str, object] | None
     after: Offset | None
-    checked: bool
+    check_after: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/poplarrelay/node/caller_handlers.py
+++ b/poplarrelay/node/caller_handlers.py
@@ -42,7 +42,7 @@
 from poplarrelay.outcomes import Answered, Outcome
 from poplarrelay.providers.http import CallFailed, JsonHttpClient
 from poplarrelay.systems.lookups import (
-    LookupElsewhere,
+    LookupAtPeers,
     LookupResult,
     SearchResult,
     combine_search,
@@ -334,12 +334,12 @@
         found = self._gateway.call(lambda call: LookupAsked(call, digest, request))
         if isinstance(found, CallerError):
             raise reject(found)
-        if isinstance(found, LookupElsewhere):
+        if isinstance(found, LookupAtPeers):
             return self._search_peers(request, found)
         assert isinstance(found, LookupResult)
         return answer_json(lookup_document(request, found))
 
-    def _search_peers(self, request: RequestId, found: LookupElsewhere) -> bytes:
+    def _search_peers(self, request: RequestId, found: LookupAtPeers) -> bytes:
         path = f"/peer/requests/{quote(request)}?team={quote(found.team)}"
         copy_found, unanswered = False, set()
         for peer in found.peers:
--- a/poplarrelay/node/effect_executor.py
+++ b/poplarrelay/node/effect_executor.py
@@ -299,7 +299,7 @@
         self._submit(AllPeersAnswered(effect.request, absent))
 
     def _forward_request(self, effect: ForwardRequest) -> None:
-        reply = self._peers.forward(effect.peer, effect.stored, effect.timeout_s)
+        reply = self._peers.forward(effect.peer, effect.message, effect.timeout_s)
         self._submit(ForwardAnswered(effect.request, reply is not None, reply))
 
     def _fetch_configuration(self, effect: FetchConfiguration) -> None:
--- a/poplarrelay/node/log_threads.py
+++ b/poplarrelay/node/log_threads.py
@@ -181,7 +181,7 @@
         backoff = _Backoff(self._rng)
         while True:
             now = time.monotonic()
-            group = [effect for effect in group if effect.until > now]
+            group = [effect for effect in group if effect.expires_at > now]
             if not group or self._stopping:
                 return
             try:
--- a/poplarrelay/node/sessions.py
+++ b/poplarrelay/node/sessions.py
@@ -318,7 +318,7 @@
             valid.
         """
         stream = self._runtime.engine.complete(
-            attempt, instruction.work, instruction.team, instruction.urgency, source
+            attempt, instruction.work, instruction.team, instruction.priority, source
         )
         with closing(stream):
             for events in stream:
@@ -338,7 +338,7 @@
 
         The stream continues until its end event says that the cache is exported.
         """
-        if plan.way is not MoveMethod.MOVE_CACHE:
+        if plan.method is not MoveMethod.MOVE_CACHE:
             return False
         self._export_plan = plan
         return self._runtime.engine.export_cache(attempt)
--- a/poplarrelay/outcomes.py
+++ b/poplarrelay/outcomes.py
@@ -43,7 +43,7 @@
 
     ATTEMPT_BROKEN = "attempt-broken"
     DEADLINE = "deadline"
-    HOME_UNREACHABLE = "home-unreachable"
+    OWNER_UNREACHABLE = "home-unreachable"
     KEY_EXPIRED = "key-expired"
     LOG_UNAVAILABLE = "log-unavailable"
     NODE_LEAVING = "node-leaving"
--- a/poplarrelay/platform/cloud.py
+++ b/poplarrelay/platform/cloud.py
@@ -14,7 +14,7 @@
 from poplarrelay.exception import ExchangeFailed
 from poplarrelay.identifiers import DomainId, NodeId, TeamId
 
-__all__ = ["CloudClient", "CloudOutcome", "DutyStamp", "EndpointOrder"]
+__all__ = ["CloudClient", "CloudOutcome", "DutyHolder", "EndpointOrder"]
 
 #: Timeouts in seconds of a new connection and of an answer. A call without an answer in
 #: time is sent again: both kinds of calls can be repeated safely.
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DutyStamp:
+class DutyHolder:
     """Holder of a duty, and its fencing token, which is higher for later holders."""
 
     holder: NodeId
@@ -73,7 +73,7 @@
         self._client = JsonClient(address, CONNECT_TIMEOUT_S, MAX_ANSWER_BYTES)
 
     async def _post(
-        self, target: str, stamp: DutyStamp, value: dict[str, Any]
+        self, target: str, stamp: DutyHolder, value: dict[str, Any]
     ) -> tuple[CloudOutcome, str]:
         headers = [
             (_HOLDER, stamp.holder.encode()),
@@ -95,14 +95,14 @@
         return CloudOutcome.UNAVAILABLE, f"{response.status} {detail}"
 
     async def report_usage(
-        self, stamp: DutyStamp, window: int, counts: dict[TeamId, int]
+        self, stamp: DutyHolder, window: int, counts: dict[TeamId, int]
     ) -> tuple[CloudOutcome, str]:
         """Report the number of requests of each team that began in a window."""
         value = {"windowId": window, "counts": dict(counts)}
         return await self._post("/usage", stamp, value)
 
     async def order(
-        self, stamp: DutyStamp, order: EndpointOrder
+        self, stamp: DutyHolder, order: EndpointOrder
     ) -> tuple[CloudOutcome, str]:
         """Order a number of endpoints; the count is a target, not an addition."""
         value: dict[str, Any] = {
--- a/poplarrelay/platform/records.py
+++ b/poplarrelay/platform/records.py
@@ -120,8 +120,8 @@
         if engine
         else None,
         scaling=ScalingLimits(
-            least=int(scaling["min"]),
-            most=int(scaling["max"]),
+            min_endpoints=int(scaling["min"]),
+            max_endpoints=int(scaling["max"]),
             boot_s=float(scaling.get("bootS", 0)),
             reclaimable_price=float(scaling.get("spotPrice", 1)),
             domain_prices={
--- a/poplarrelay/platform/store.py
+++ b/poplarrelay/platform/store.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from poplarrelay.entry.http.connection import WholeResponse
+from poplarrelay.entry.http.connection import CompleteResponse
 from poplarrelay.entry.http.pool import Address, JsonClient
 from poplarrelay.entry.timeouts import within
 from poplarrelay.exception import (
@@ -158,7 +158,7 @@
         body: bytes,
         timeout_s: float = ANSWER_TIMEOUT_S,
         topic: str = "",
-    ) -> WholeResponse:
+    ) -> CompleteResponse:
         self._calls[f"{name} {topic}".strip()] += 1
         try:
             call = self._client.call(method, target, [], body)
@@ -398,7 +398,7 @@
     return tuple(records)
 
 
-def _decode_json(response: WholeResponse) -> dict[str, Any]:
+def _decode_json(response: CompleteResponse) -> dict[str, Any]:
     try:
         value = orjson.loads(response.body)
     except orjson.JSONDecodeError as error:
@@ -406,5 +406,5 @@
     return value if isinstance(value, dict) else {}
 
 
-def _body_text(response: WholeResponse) -> str:
+def _body_text(response: CompleteResponse) -> str:
     return response.body[:200].decode("utf-8", "replace")
--- a/poplarrelay/standins/users/runner.py
+++ b/poplarrelay/standins/users/runner.py
@@ -24,15 +24,15 @@
         Run the request and reset the connection.
     HANG
         Run the request and never answer.
-    SHORT
+    TRUNCATED
         Close the connection in the middle of the response body.
-    EXTRA
+    SECOND_RESPONSE
         Send a second response after the complete one.
-    STRAY
+    WRONG_ATTEMPT_ID
         Send a response with the id of another request.
-    NOISE
+    INVALID_BYTES
         Send bytes that are not an HTTP response.
-    UNFRAMED
+    NO_LENGTH
         Send a response without a length, so that the end of the connection ends the
         body.
     """
@@ -41,11 +41,11 @@
     ERROR = "error"
     RESET = "reset"
     HANG = "hang"
-    SHORT = "short"
-    EXTRA = "extra"
-    STRAY = "stray"
-    NOISE = "noise"
-    UNFRAMED = "unframed"
+    TRUNCATED = "short"
+    SECOND_RESPONSE = "extra"
+    WRONG_ATTEMPT_ID = "stray"
+    INVALID_BYTES = "noise"
+    NO_LENGTH = "unframed"
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
         Number of connections accepted so far.
     active_streams : int
         Number of streams in progress.
-    cut : list of str
+    disconnected_attempts : list of str
         Attempt ids of streams whose caller closed the connection before the end.
     limit : str or None
         Value of the ``Server-Limit`` header in responses, None to omit it.
@@ -104,7 +104,7 @@
     faults: list[Fault] = field(default_factory=list)
     break_after: int | None = None
     received: list[ReceivedRequest] = field(default_factory=list)
-    cut: list[str] = field(default_factory=list)
+    disconnected_attempts: list[str] = field(default_factory=list)
     connections: int = 0
     active_streams: int = 0
     limit: str | None = None
@@ -288,19 +288,19 @@
             writer.transport.abort()
         elif fault is Fault.HANG:
             await reader.read(1)
-        elif fault is Fault.STRAY:
+        elif fault is Fault.WRONG_ATTEMPT_ID:
             return self._answer(http, writer, 200, "another-request", body)
-        elif fault is Fault.NOISE:
+        elif fault is Fault.INVALID_BYTES:
             writer.write(b"\x00\x01 this is no HTTP\r\n\r\n")
-        elif fault is Fault.EXTRA:
+        elif fault is Fault.SECOND_RESPONSE:
             self._answer(http, writer, 200, attempt, body)
             raw = f"HTTP/1.1 200 OK\r\nX-Poplarrelay-Attempt-Id: {attempt}\r\n"
             writer.write(f"{raw}Content-Length: 5\r\n\r\nextra".encode())
             await reader.read(1)
-        elif fault is Fault.SHORT:
+        elif fault is Fault.TRUNCATED:
             raw = f"HTTP/1.1 200 OK\r\nX-Poplarrelay-Attempt-Id: {attempt}\r\n"
             writer.write(f"{raw}Content-Length: 500\r\n\r\nhalf".encode())
-        elif fault is Fault.UNFRAMED:
+        elif fault is Fault.NO_LENGTH:
             raw = f"HTTP/1.1 200 OK\r\nX-Poplarrelay-Attempt-Id: {attempt}\r\n\r\n"
             writer.write(raw.encode() + body)
         return False
@@ -328,7 +328,7 @@
             for number in range(first, self.events + 1):
                 done, _ = await asyncio.wait({disconnected}, timeout=self.pause_s)
                 if done:
-                    self.cut.append(attempt)
+                    self.disconnected_attempts.append(attempt)
                     return False
                 event = self.event_of(number)
                 if self.break_after == number:
--- a/poplarrelay/systems/admitting.py
+++ b/poplarrelay/systems/admitting.py
@@ -140,7 +140,7 @@
         )
     if request.key is not None:
         return None
-    if now >= world.refuse_from:
+    if now >= world.reject_from:
         return NotRun(NotRunReason.NODE_LEAVING, OTHER_NODE_RETRY_S)
     if request.deferred and answer_store_full(world):
         return NotRun(NotRunReason.QUEUE_FULL, OTHER_NODE_RETRY_S)
--- a/poplarrelay/systems/claiming.py
+++ b/poplarrelay/systems/claiming.py
@@ -285,7 +285,7 @@
 
 
 def _end_unreachable(world: World, request: Request, now: float) -> Iterator[Effect]:
-    outcome = Unknown(UnknownReason.HOME_UNREACHABLE, LOG_RETRY_S)
+    outcome = Unknown(UnknownReason.OWNER_UNREACHABLE, LOG_RETRY_S)
     yield from conclude(world, request, outcome, now)
 
 
--- a/poplarrelay/systems/configuring.py
+++ b/poplarrelay/systems/configuring.py
@@ -317,7 +317,7 @@
 
 def _fold_batch(world: World, batch: RecordsRead, now: float) -> Iterator[Effect]:
     position = world.streams[CONFIGURATION]
-    if batch.oldest > position.next or world.collecting:
+    if batch.oldest > position.next or world.unfolded_records:
         yield from _collect(world, batch, now)
         return
     for record in batch.records:
@@ -337,14 +337,14 @@
     """
     position = world.streams[CONFIGURATION]
     position.caught_up = False
-    known = {record.offset for record in world.collecting}
-    world.collecting.extend(r for r in batch.records if r.offset not in known)
-    if not world.collecting or world.collecting[-1].offset + 1 < batch.next:
+    known = {record.offset for record in world.unfolded_records}
+    world.unfolded_records.extend(r for r in batch.records if r.offset not in known)
+    if not world.unfolded_records or world.unfolded_records[-1].offset + 1 < batch.next:
         return
-    base = _newest_usable_snapshot(world.collecting, batch.oldest)
+    base = _newest_usable_snapshot(world.unfolded_records, batch.oldest)
     if base is None or base.covers < position.next:
         return
-    records, world.collecting = world.collecting, []
+    records, world.unfolded_records = world.unfolded_records, []
     _restore_snapshot(world, base, now)
     for record in records:
         yield from _fold_one(world, record, now)
@@ -365,7 +365,7 @@
         if covers > position.next or (
             not position.caught_up and covers == position.next
         ):
-            world.collecting = []
+            world.unfolded_records = []
             _restore_snapshot(world, message.snapshot, now)
             yield LogDecision(
                 Decision.CONFIGURATION,
@@ -390,12 +390,12 @@
         return
     current = world.configuration.entries.get(asked.subject)
     current_offset = None if current is None else current.offset
-    if asked.checked and asked.after != current_offset:
+    if asked.check_after and asked.after != current_offset:
         yield Reply(asked.call, ConfigurationConflict(asked.subject, current_offset))
         return
     until = now + PUBLISH_TIMEOUT_S
     pending = PendingChange(
-        asked.call, asked.subject, until, asked.body, not asked.checked
+        asked.call, asked.subject, until, asked.body, not asked.check_after
     )
     yield from _send_change(world, pending)
 
--- a/poplarrelay/systems/dispatching.py
+++ b/poplarrelay/systems/dispatching.py
@@ -46,7 +46,7 @@
         exceeds_fair_share(world, request.team),
         ready_nodes(world),
         world.settings.limits.routing_policy,
-        world.sent,
+        world.attempts_sent,
     )
 
 
@@ -71,7 +71,7 @@
     request.attempt = attempt
     request.attempts += 1
     request.dispatched_at = now
-    world.sent += 1
+    world.attempts_sent += 1
     return attempt
 
 
--- a/poplarrelay/systems/draining.py
+++ b/poplarrelay/systems/draining.py
@@ -69,7 +69,7 @@
         return
     yield from _process_acknowledgements(world, inbox)
     if world.handover is None:
-        idle = now >= world.refuse_from and not _busy(world)
+        idle = now >= world.reject_from and not _busy(world)
         if idle or now >= world.handover_at:
             yield from _begin_handover(world, now)
     elif not world.handover.acknowledged and now >= world.handover.next_send_at:
@@ -85,7 +85,7 @@
     world.drain_until = min(world.drain_until, until)
     world.handover_at = min(world.handover_at, until - margin)
     accept = min(world.settings.timing.address_ttl_s, ACCEPT_SHARE * within_s)
-    world.refuse_from = min(world.refuse_from, now + accept)
+    world.reject_from = min(world.reject_from, now + accept)
     if world.phase in (NodePhase.DRAINING, NodePhase.STOPPED):
         if world.drain_until == until:
             step = (("step", "hurrying"), ("within_s", within_s))
--- a/poplarrelay/systems/endpoint_monitoring.py
+++ b/poplarrelay/systems/endpoint_monitoring.py
@@ -81,7 +81,7 @@
             yield from _update_listed(world, row, now)
         for endpoint in list(world.endpoints.values()):
             endpoint.listed = endpoint.id in watched_ids
-            if not endpoint.listed and not endpoint.sent:
+            if not endpoint.listed and not endpoint.running_attempts:
                 endpoint.state = EndpointState.GONE
                 del world.endpoints[endpoint.id]
                 yield _state_change(endpoint, "unlisted")
@@ -209,7 +209,7 @@
     for reported in inbox.of(LoadReported):
         endpoint = world.endpoints.get(reported.endpoint)
         if endpoint is not None:
-            endpoint.polling = False
+            endpoint.poll_in_flight = False
             endpoint.poll_failures = 0
             lag_s = world.settings.timing.report_lag_s
             endpoint.note_report(reported.report, now, lag_s)
@@ -217,14 +217,14 @@
     for failed in inbox.of(LoadFailed):
         endpoint = world.endpoints.get(failed.endpoint)
         if endpoint is not None:
-            endpoint.polling = False
+            endpoint.poll_in_flight = False
             endpoint.poll_failures += 1
             if endpoint.poll_failures >= POLL_FAILURES:
                 endpoint.closed_until = max(endpoint.closed_until, now + POLL_PAUSE_S)
     for endpoint in world.endpoints.values():
-        if endpoint.polling or now < _poll_due(world, endpoint, now):
+        if endpoint.poll_in_flight or now < _poll_due(world, endpoint, now):
             continue
-        endpoint.polling = True
+        endpoint.poll_in_flight = True
         endpoint.polled_at = now
         endpoint.poll_jitter = 0.8 + 0.4 * world.rng.random()
         yield PollLoad(endpoint.id, endpoint.address)
@@ -240,8 +240,8 @@
     request sent to it restores the short interval at once.
     """
     timing = world.settings.timing
-    in_use = bool(endpoint.sent) or now - endpoint.used_at < IN_USE_S
-    state_unknown = endpoint.report is None or endpoint.ordering
+    in_use = bool(endpoint.running_attempts) or now - endpoint.used_at < IN_USE_S
+    state_unknown = endpoint.report is None or endpoint.order_in_flight
     leaving = endpoint.state is not EndpointState.LIVE
     interval = timing.load_poll_s
     if not (in_use or state_unknown or leaving):
--- a/poplarrelay/systems/expiring.py
+++ b/poplarrelay/systems/expiring.py
@@ -96,5 +96,5 @@
     deferred = [r for r in world.requests.values() if r.ended_at is not None]
     outcomes = [execution.outcome for execution in world.key_executions.values()]
     outcomes += [request.outcome for request in deferred]
-    world.kept_answers = len(outcomes)
-    world.kept_bytes = sum(_size(outcome) for outcome in outcomes)
+    world.stored_answers = len(outcomes)
+    world.stored_bytes = sum(_size(outcome) for outcome in outcomes)
--- a/poplarrelay/systems/gossiping.py
+++ b/poplarrelay/systems/gossiping.py
@@ -51,11 +51,11 @@
     """
     members = list(world.members.values())
     if not full:
-        members = [m for m in members if m.told < MAX_SENDS]
-        members.sort(key=lambda m: m.told)
+        members = [m for m in members if m.times_sent < MAX_SENDS]
+        members.sort(key=lambda m: m.times_sent)
         members = members[:MAX_ROWS]
     for member in members:
-        member.told += 1
+        member.times_sent += 1
     return tuple(encode_member(member) for member in members)
 
 
--- a/poplarrelay/systems/key_resolution.py
+++ b/poplarrelay/systems/key_resolution.py
@@ -49,7 +49,7 @@
         return
     parsed = read_key(request.key)
     if not _has_execution(world, request):
-        if now >= world.refuse_from:
+        if now >= world.reject_from:
             reasons = NotRunReason.NODE_LEAVING, UnknownReason.NODE_LEAVING
             yield from _end_unresolved(world, request, parsed, reasons, now)
             return
--- a/poplarrelay/systems/leasing.py
+++ b/poplarrelay/systems/leasing.py
@@ -107,9 +107,9 @@
             yield from _request_lease(world, duty, term_s, now)
         return
     if not _lease_expired(world, duty, now):
-        world.take_at.pop(duty.value, None)
+        world.lease_attempt_at.pop(duty.value, None)
         return
-    due_at = world.take_at.setdefault(
+    due_at = world.lease_attempt_at.setdefault(
         duty.value, now + world.rng.random() * TAKE_JITTER_S
     )
     if now >= due_at and _may_request(world, duty, now):
@@ -127,7 +127,7 @@
 
 def _may_request(world: World, duty: Duty, now: float) -> bool:
     """Return whether this node has no recent lease record for the duty in flight."""
-    return now >= world.next_bid_at.get(duty.value, float("-inf"))
+    return now >= world.next_lease_request_at.get(duty.value, float("-inf"))
 
 
 def _request_lease(
@@ -136,7 +136,7 @@
     record = world.new_record_id()
     current = world.leases.get(duty.value)
     world.lease_requests[record] = LeaseRequest(record, now, term_s)
-    world.next_bid_at[duty.value] = now + RENEW_SHARE * term_s / 2
+    world.next_lease_request_at[duty.value] = now + RENEW_SHARE * term_s / 2
     value = LeaseRecord(
         id=record,
         duty=duty.value,
@@ -151,8 +151,11 @@
 
 def _release_lease(world: World, duty: Duty, now: float) -> Iterator[Effect]:
     """Release a duty, so that another node need not wait for the end of its term."""
-    if remaining_term(world, duty, now) > 0.0 and duty.value not in world.given_up:
-        world.given_up.add(duty.value)
+    if (
+        remaining_term(world, duty, now) > 0.0
+        and duty.value not in world.released_duties
+    ):
+        world.released_duties.add(duty.value)
         yield from _request_lease(world, duty, 0.0, now)
 
 
--- a/poplarrelay/systems/limits.py
+++ b/poplarrelay/systems/limits.py
@@ -106,8 +106,8 @@
     """
     limits = world.settings.limits
     return (
-        world.kept_answers >= limits.answers_kept
-        or world.kept_bytes >= limits.answers_kept_bytes
+        world.stored_answers >= limits.answers_kept
+        or world.stored_bytes >= limits.answers_kept_bytes
     )
 
 
--- a/poplarrelay/systems/lookups.py
+++ b/poplarrelay/systems/lookups.py
@@ -30,7 +30,7 @@
 from poplarrelay.tables.world import World
 
 __all__ = [
-    "LookupElsewhere",
+    "LookupAtPeers",
     "LookupResult",
     "SearchResult",
     "answer_lookups",
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LookupElsewhere:
+class LookupAtPeers:
     """The other nodes that have the request, or may have it.
 
     Attributes
@@ -103,13 +103,13 @@
 
 
 def combine_search(
-    found: LookupElsewhere, copies: bool, unanswered: Iterable[str]
+    found: LookupAtPeers, copies: bool, unanswered: Iterable[str]
 ) -> SearchResult:
     """Return the result of a search in which no node has returned an outcome.
 
     Parameters
     ----------
-    found : LookupElsewhere
+    found : LookupAtPeers
         Result of the lookup at the node that searches.
     copies : bool
         Whether any queried node has a copy.
@@ -137,7 +137,7 @@
 
 def _look_up(
     world: World, lookup: LookupAsked
-) -> LookupResult | LookupElsewhere | RequestNotFound | AuthenticationFailed:
+) -> LookupResult | LookupAtPeers | RequestNotFound | AuthenticationFailed:
     """Return the state of a request; a request of another team counts as absent."""
     try:
         team = lookup.team or team_of(world, lookup.token_sha256)
@@ -161,7 +161,7 @@
 
 def _look_up_local(
     world: World, request: Request, forwarded: bool
-) -> LookupResult | LookupElsewhere:
+) -> LookupResult | LookupAtPeers:
     """Return the state of a deferred request that this node owns.
 
     Notes
@@ -175,7 +175,7 @@
     holders = _possible_holders(world, request.id) if unconfirmed else ()
     if forwarded or not holders:
         return LookupResult(outcome, copy=unconfirmed)
-    return LookupElsewhere(holders, request.team, copy=True)
+    return LookupAtPeers(holders, request.team, copy=True)
 
 
 def _possible_holders(world: World, request: RequestId) -> tuple[str, ...]:
@@ -204,7 +204,7 @@
 
 def _nodes_to_query(
     world: World, request: RequestId, team: TeamId, copy: bool
-) -> LookupElsewhere | None:
+) -> LookupAtPeers | None:
     """Return the nodes to query: the request's owner and the peers that may hold it."""
     parts = request.split(".")
     if len(parts) != REQUEST_ID_PARTS:
@@ -221,7 +221,7 @@
     peers = tuple(dict.fromkeys(member.peers for member in (*first, *reachable)))
     if not peers and not _expects_peers(world):
         return None
-    return LookupElsewhere(
+    return LookupAtPeers(
         peers,
         team,
         owner=None if owner is None else owner.peers,
--- a/poplarrelay/systems/membership.py
+++ b/poplarrelay/systems/membership.py
@@ -109,7 +109,7 @@
         return
     member.status = MemberStatus.SUSPECT
     member.changed_at = now
-    member.told = 0
+    member.times_sent = 0
     yield _state_change(member, "no answer")
 
 
@@ -121,7 +121,7 @@
         if member.status is MemberStatus.SUSPECT and elapsed >= timing.suspicion_s:
             member.status = MemberStatus.DEAD
             member.changed_at = now
-            member.told = 0
+            member.times_sent = 0
             yield _state_change(member, "suspicion not refuted")
         elif member.status in (
             MemberStatus.DEAD,
--- a/poplarrelay/systems/moving.py
+++ b/poplarrelay/systems/moving.py
@@ -106,7 +106,7 @@
     for endpoint in list(world.endpoints.values()):
         if endpoint.state is not EndpointState.LEAVING:
             continue
-        for request_id in list(endpoint.sent):
+        for request_id in list(endpoint.running_attempts):
             request = world.requests.get(request_id)
             if request is not None and request.state is RequestState.DISPATCHED:
                 yield from _move_attempt(world, request, endpoint, now)
--- a/poplarrelay/systems/placing.py
+++ b/poplarrelay/systems/placing.py
@@ -99,7 +99,7 @@
     for answered in inbox.of(OrderAnswered):
         endpoint = world.endpoints.get(answered.endpoint)
         if endpoint is not None:
-            endpoint.ordering = False
+            endpoint.order_in_flight = False
             yield LogDecision(
                 Decision.PLACEMENT,
                 (("endpoint", endpoint.id), ("order_taken", answered.taken)),
@@ -125,7 +125,7 @@
 
 
 def _orders_in_flight(world: World) -> int:
-    return sum(1 for endpoint in world.endpoints.values() if endpoint.ordering)
+    return sum(1 for endpoint in world.endpoints.values() if endpoint.order_in_flight)
 
 
 def _order_models(
@@ -135,7 +135,7 @@
     expires_at: float,
     now: float,
 ) -> Iterator[Effect]:
-    if endpoint.loaded is None or endpoint.loaded == models or endpoint.ordering:
+    if endpoint.loaded is None or endpoint.loaded == models or endpoint.order_in_flight:
         return
     reported_at = endpoint.reported_at
     if reported_at is None or now - reported_at > MAX_REPORT_AGE_S:
@@ -145,7 +145,7 @@
     fencing = fencing_token(world, Duty.PLACEMENT)
     if fencing is None:
         return
-    endpoint.ordering = True
+    endpoint.order_in_flight = True
     endpoint.next_order_at = now + ORDER_REPEAT_S
     yield LogDecision(
         Decision.PLACEMENT,
--- a/poplarrelay/systems/reporting.py
+++ b/poplarrelay/systems/reporting.py
@@ -88,7 +88,7 @@
             endpoint.id: {
                 "state": endpoint.state.value,
                 "failure_domain": endpoint.domain,
-                "running": len(endpoint.sent),
+                "running": len(endpoint.running_attempts),
                 "price": endpoint.price,
                 "models": sorted(endpoint.loaded or endpoint.names),
             }
--- a/poplarrelay/systems/request_copies.py
+++ b/poplarrelay/systems/request_copies.py
@@ -239,5 +239,5 @@
     world.held_copies[request.id] = held
     remove_request(world, request, now)
     # End the attempt that may still be running at this node.
-    outcome = Unknown(UnknownReason.HOME_UNREACHABLE)
+    outcome = Unknown(UnknownReason.OWNER_UNREACHABLE)
     yield EndRequest(request.id, outcome, deferred=True)
--- a/poplarrelay/systems/routing.py
+++ b/poplarrelay/systems/routing.py
@@ -136,7 +136,7 @@
 def _load(endpoint: Endpoint, report: LoadReport) -> int:
     """Return the endpoint's reported load, corrected by this node's later changes."""
     reported = report.running + report.queued
-    return max(reported + _load_change(endpoint), len(endpoint.sent), 0)
+    return max(reported + _load_change(endpoint), len(endpoint.running_attempts), 0)
 
 
 def predict_first_token(endpoint: Endpoint, request: Request, now: float) -> float:
--- a/poplarrelay/systems/takeover.py
+++ b/poplarrelay/systems/takeover.py
@@ -276,7 +276,7 @@
         ),
     )
     if request.outcome is None and not _repeatable(request):
-        request.outcome = Unknown(UnknownReason.HOME_UNREACHABLE)
+        request.outcome = Unknown(UnknownReason.OWNER_UNREACHABLE)
     world.sent_copies[request.id] = accepted_copy(request)
     if request.outcome is not None:
         request.state = RequestState.ENDED
--- a/poplarrelay/systems/tests/test_at_most_once.py
+++ b/poplarrelay/systems/tests/test_at_most_once.py
@@ -116,7 +116,7 @@
 
     @rule()
     def settle(self):
-        self.system.settle(rounds=4)
+        self.system.run_rounds(rounds=4)
 
     @invariant()
     def nothing_is_doubled_and_no_not_run_is_false(self):
@@ -126,7 +126,7 @@
         for name in self.system.nodes:
             self.system.thaw(name)
         self.system.log.up = True
-        self.system.settle(rounds=60)
+        self.system.run_rounds(rounds=60)
         assert not self.system.violations, self.system.violations[0]
         for submission in self.system.submissions.values():
             assert len(submission.outcomes) <= 1
--- a/poplarrelay/systems/tests/test_configuration_fold.py
+++ b/poplarrelay/systems/tests/test_configuration_fold.py
@@ -87,8 +87,8 @@
     def _read(self, name, limit):
         world = self.nodes[name]
         start = world.streams[CONFIGURATION].next
-        if world.collecting:
-            start = Offset(world.collecting[-1].offset + 1)
+        if world.unfolded_records:
+            start = Offset(world.unfolded_records[-1].offset + 1)
         first = max(start, self.oldest)
         chosen = tuple(
             Record(Offset(first + index), value)
--- a/poplarrelay/systems/tests/test_copying.py
+++ b/poplarrelay/systems/tests/test_copying.py
@@ -80,7 +80,7 @@
     system.declare_dead("n1")
     for name in ("n2", "n3"):
         assert system.look_up(name, deferral) == "answered"
-    system.settle(10)
+    system.run_rounds(10)
     assert deferral.runs == 1
 
 
@@ -162,7 +162,7 @@
     for name in (stale, holder):
         assert system.look_up(name, deferral) == "answered"
     system.declare_dead("n1")
-    system.settle(10)
+    system.run_rounds(10)
     for name in (stale, holder):
         assert system.look_up(name, deferral) == "answered"
     assert deferral.runs == 1
@@ -216,7 +216,7 @@
     assert len(_held_by(system, deferral)) == 2
     system.crash("n1")
     system.declare_dead("n1")
-    system.settle(10)
+    system.run_rounds(10)
     assert deferral.runs == 1
     for name in ("n2", "n3"):
         assert system.look_up(name, deferral) == "answered"
@@ -230,11 +230,11 @@
     system.crash("n1")
     system.freeze(holder)
     system.nodes[stale].world.members[NodeId("n1")].status = MemberStatus.DEAD
-    system.settle(4)
+    system.run_rounds(4)
     assert deferral.runs == 1
     assert system.look_up(stale, deferral) == "not_known"
     system.thaw(holder)
-    system.settle(10)
+    system.run_rounds(10)
     assert deferral.runs == 1
     assert system.look_up(stale, deferral) == "answered"
 
@@ -282,14 +282,14 @@
     _perform(system, StoreCopy)
     system.freeze("n1")
     system.declare_dead("n1")
-    system.settle(10)
+    system.run_rounds(10)
     assert system.look_up("n2", deferral) == "answered"
     system.thaw("n1")
     system.introduce_all()
     system.tick_all()
     _perform(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
-    system.settle(10)
+    system.run_rounds(10)
     for name in system.nodes:
         assert system.look_up(name, deferral) == "answered"
 
@@ -337,7 +337,7 @@
     system.tick_all()
     owners = [n for n in system.nodes.values() if deferral.id in n.world.requests]
     assert len([node for node in owners if node.answers]) == 1
-    system.settle(10)
+    system.run_rounds(10)
     for name in ("n2", "n3"):
         assert system.look_up(name, deferral) == "answered"
 
--- a/poplarrelay/systems/tests/test_deferred_machine.py
+++ b/poplarrelay/systems/tests/test_deferred_machine.py
@@ -76,7 +76,7 @@
         self.crashed = node
         self.system.crash(node)
         for deferral in self.system.deferrals.values():
-            if deferral.home == node and not self._has_confirmed_copy(node, deferral):
+            if deferral.owner == node and not self._has_confirmed_copy(node, deferral):
                 self.exempt.add(deferral.id)
 
     def _has_confirmed_copy(self, node, deferral):
@@ -104,11 +104,15 @@
         if not deferral.accepted or deferral.id in self.exempt:
             return
         state = self.system.look_up(node, deferral)
-        if deferral.told is not None:
-            assert state in (deferral.told, "not_known"), (node, state, deferral)
+        if deferral.fetched_outcome is not None:
+            assert state in (deferral.fetched_outcome, "not_known"), (
+                node,
+                state,
+                deferral,
+            )
         elif state not in OPEN:
             assert state != "absent", (node, deferral)
-            deferral.told = state
+            deferral.fetched_outcome = state
 
     @invariant()
     def work_that_must_not_be_repeated_runs_once(self):
@@ -121,7 +125,7 @@
         self.system.introduce_all()
         if self.crashed is not None:
             self.system.declare_dead(self.crashed)
-        self.system.settle(20)
+        self.system.run_rounds(20)
         for deferral in self.system.deferrals.values():
             if deferral.accepted and deferral.id not in self.exempt:
                 self._check_outcome(deferral)
@@ -131,7 +135,11 @@
             if self._running(name):
                 state = self.system.look_up(name, deferral)
                 assert state not in ("absent", *OPEN), (name, state, deferral)
-                assert deferral.told in (None, state), (name, state, deferral)
+                assert deferral.fetched_outcome in (None, state), (
+                    name,
+                    state,
+                    deferral,
+                )
 
 
 TestDeferredRequests = DeferredRequests.TestCase
--- a/poplarrelay/systems/tests/test_limits.py
+++ b/poplarrelay/systems/tests/test_limits.py
@@ -141,7 +141,7 @@
             *node.arrive("beta", RequestClass.URGENT, count=1),
         )
     )
-    assert [run.urgency for run in started] == [0]
+    assert [run.priority for run in started] == [0]
 
 
 def test_patient_work_is_not_starved(node):
@@ -240,7 +240,7 @@
     moves = [e for e in effects if isinstance(e, MoveAttempt)]
     effects = effects or node.tick()
     moves += [e for e in effects if isinstance(e, MoveAttempt) and e not in moves]
-    assert [move.plan.way for move in moves] == [MoveMethod.MOVE_CACHE]
+    assert [move.plan.method for move in moves] == [MoveMethod.MOVE_CACHE]
     assert moves[0].plan.successor.endpoint != victim.id
     assert node.world.team_usage(ALPHA).retry_tokens == before
 
@@ -303,7 +303,7 @@
         node.world.requests.clear()
         node.world.queue.clear()
         for endpoint in node.world.endpoints.values():
-            endpoint.sent.clear()
+            endpoint.running_attempts.clear()
             endpoint.changes.clear()
         node.world.team_usage(ALPHA).running = 0
     engine = node.world.endpoints[E0]
--- a/poplarrelay/systems/tests/test_safeguards.py
+++ b/poplarrelay/systems/tests/test_safeguards.py
@@ -52,7 +52,7 @@
     first, second = system.submit("n1", "seat"), system.submit("n2", "seat")
     system.tick_all()
     system.perform_all(AppendRecord)
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 1
     assert not system.violations
     assert first.outcomes == second.outcomes
@@ -73,7 +73,7 @@
     system.perform_all(RunAttempt)
     system.actions.append(late)
     system.perform(late)
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 1
     assert not system.violations
 
@@ -84,7 +84,7 @@
     submission = system.submit("n1", "seat")
     system.tick_all()
     system.perform_all(AppendRecord, lost=True)
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 1
     assert len(submission.outcomes) == 1
 
@@ -101,7 +101,7 @@
     system.read_log("n1")
     system.tick("n1")
     again = system.submit("n1", "seat")
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 1
     assert isinstance(again.outcomes[0], Unknown)
 
@@ -113,10 +113,10 @@
     _win_claim(system)
     system.freeze("n1")
     again = system.submit("n2", "seat")
-    system.settle()
+    system.run_rounds()
     assert isinstance(again.outcomes[0], Unknown)
     system.thaw("n1")
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] <= 1
     assert not system.violations
 
@@ -130,7 +130,7 @@
     system.freeze("n1")
     system.now += 5.0
     system.thaw("n1")
-    system.settle()
+    system.run_rounds()
     assert system.runs[submission.key] == 0
 
 
@@ -153,7 +153,7 @@
         system.now += 0.5
     assert system.forbidden.get("seat")
     system.thaw("n2")
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 0
     assert not system.violations
 
@@ -177,7 +177,7 @@
         system.now += 1.0
     system.tick_all()
     assert system.forbidden.get("seat")
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 0
     assert not system.violations
 
@@ -194,7 +194,7 @@
         system.read_log(name)
     system.tick_all()
     again = system.submit("n2", "seat")
-    system.settle()
+    system.run_rounds()
     assert isinstance(again.outcomes[0], Unknown)
     assert not system.violations
 
@@ -223,7 +223,7 @@
     system.tick_all()
     system.freeze("n3")
     submission = system.submit("n2", "seat")
-    system.settle()
+    system.run_rounds()
     assert isinstance(submission.outcomes[0], Unknown)
 
 
@@ -242,7 +242,7 @@
         system.read_log(name)
     system.tick_all()
     again = system.submit("n2", "seat")
-    system.settle()
+    system.run_rounds()
     assert isinstance(again.outcomes[0], Unknown)
     assert not system.violations
 
@@ -256,7 +256,7 @@
     system.now += 3.0
     system.tick("n1")
     assert submission.outcomes
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 0
     assert not system.violations
 
@@ -271,7 +271,7 @@
     system.perform_all(QueryAllPeers)
     system.tick_all()
     again = system.submit("n1", "seat")
-    system.settle()
+    system.run_rounds()
     assert isinstance(again.outcomes[0], Answered)
     assert system.runs["seat"] == 1
     assert not system.violations
@@ -297,7 +297,7 @@
     submission = system.submit("n1", system.ticket("n1", "a"))
     system.tick_all()
     system.perform_all(RunAttempt, lost=True)
-    system.settle()
+    system.run_rounds()
     assert system.runs[submission.key] == 1
     assert isinstance(submission.outcomes[0], Unknown)
 
@@ -307,7 +307,7 @@
     submission = system.submit("n1", system.ticket("n1", "a"))
     system.tick_all()
     system.refuse_attempt(system.actions[0])
-    system.settle()
+    system.run_rounds()
     assert system.runs[submission.key] == 1
     assert isinstance(submission.outcomes[0], Answered)
 
@@ -329,7 +329,7 @@
     one, other = system.submit("n2", ticket), system.submit("n3", ticket)
     system.tick_all()
     assert _kinds(system) == [ForwardRequest, ForwardRequest]
-    system.settle()
+    system.run_rounds()
     assert system.runs[ticket] == 1
     assert isinstance(one.outcomes[0], Answered)
     assert isinstance(other.outcomes[0], Answered)
@@ -342,7 +342,7 @@
         system.read_log(name)
     system.tick_all()
     submission = system.submit("n1", system.ticket("n1", "a"))
-    system.settle()
+    system.run_rounds()
     assert isinstance(submission.outcomes[0], Answered)
 
 
@@ -357,7 +357,7 @@
     system.start("n1")
     system.introduce_all()
     again = system.submit("n1", ticket)
-    system.settle()
+    system.run_rounds()
     assert system.runs[ticket] == 1
     assert isinstance(again.outcomes[0], Unknown)
 
@@ -367,7 +367,7 @@
     # whether the ticket ran.
     ticket = system.ticket("n1", "a")
     system.submit("n1", ticket)
-    system.settle()
+    system.run_rounds()
     system.now += 3600.0
     for _ in range(3):
         system.now += 10.0
@@ -402,7 +402,7 @@
     # run a ticket, because its successor can run it.
     ticket = system.ticket("n1", "a")
     system.submit("n1", system.ticket("n1", "first"))
-    system.settle(2)
+    system.run_rounds(2)
     _leave(system)
     assert SendHandover in _kinds(system)
     system.perform_all(SendHandover, lost=True)
@@ -412,7 +412,7 @@
     system.submit("n1", ticket)
     system.tick_all()
     system.submit(successor, ticket)
-    system.settle()
+    system.run_rounds()
     assert system.runs[ticket] <= 1
     assert not system.violations
 
@@ -421,7 +421,7 @@
     # The acknowledgement of a handover is lost. A second successor would run the same
     # tickets as the first one.
     system.submit("n1", system.ticket("n1", "first"))
-    system.settle(2)
+    system.run_rounds(2)
     _leave(system)
     successor = system.nodes["n1"].world.handover.successor
     system.perform_all(SendHandover, lost=True)
@@ -443,7 +443,7 @@
     # the successor would run the ticket again.
     ticket = system.ticket("n1", "first")
     first = system.submit("n1", ticket)
-    system.settle(2)
+    system.run_rounds(2)
     _leave(system)
     system.perform_all(SendHandover)
     system.tick("n1")
@@ -452,7 +452,7 @@
         if node.name != "n1":
             system.gossip(node, system.nodes["n1"])
     again = system.submit("n2", ticket)
-    system.settle()
+    system.run_rounds()
     assert system.runs[ticket] == 1
     assert again.outcomes == first.outcomes
 
@@ -475,7 +475,7 @@
         system.now += 0.5
     assert system.forbidden.get(ticket)
     system.perform(forward)
-    system.settle()
+    system.run_rounds()
     assert system.runs[ticket] == 0
     assert not system.violations
 
@@ -484,7 +484,7 @@
     # Another node has run the key. A node that has no configuration rejects the request
     # without resolving the key, so it cannot return "not run".
     system.submit("n1", "seat")
-    system.settle()
+    system.run_rounds()
     system.nodes["n2"].world.me.ready = False
     system.nodes["n2"].world.streams["configuration"].caught_up = False
     again = system.submit("n2", "seat")
@@ -496,7 +496,7 @@
     # The log's clock is set far forward when an older claim is read. If the node
     # expired the claim by that clock, the key could run again.
     system.submit("n1", "seat")
-    system.settle()
+    system.run_rounds()
     system.crash("n1")
     world = system.nodes["n2"].world
     position = world.streams["claims"]
@@ -508,7 +508,7 @@
     system.now += 6.0
     system.tick("n2")
     again = system.submit("n2", "seat")
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 1
     assert isinstance(again.outcomes[0], Unknown)
 
@@ -531,7 +531,7 @@
     for name in ("n2", "n3"):
         system.gossip(system.nodes[name], system.nodes["n1"])
     again = system.submit(successor, "seat")
-    system.settle()
+    system.run_rounds()
     assert system.runs["seat"] == 1
     assert isinstance(again.outcomes[0], Answered)
 
@@ -541,15 +541,15 @@
     # answer of an old ticket to a repetition.
     ticket = system.ticket("n1", "old")
     first = system.submit("n1", ticket)
-    system.settle()
+    system.run_rounds()
     world = system.nodes["n1"].world
-    world.kept_answers = world.settings.limits.answers_kept
+    world.stored_answers = world.settings.limits.answers_kept
     new = system.submit("n1", system.ticket("n1", "new"))
     again = system.submit("n1", ticket)
     system.tick("n1")
     assert isinstance(new.outcomes[0], NotRun)
     assert again.outcomes == first.outcomes
-    world.kept_answers = 0
+    world.stored_answers = 0
 
 
 def test_repeated_request_joins_the_running_one(system):
@@ -561,7 +561,7 @@
     again = system.submit("n1", ticket)
     system.tick_all()
     assert _kinds(system) == [RunAttempt]
-    system.settle()
+    system.run_rounds()
     assert first.outcomes == again.outcomes
 
 
@@ -578,5 +578,5 @@
     system.perform_all(QueryKey)
     system.tick("n2")
     assert again.outcomes == []
-    system.settle()
+    system.run_rounds()
     assert again.outcomes == first.outcomes
--- a/poplarrelay/systems/ticketing.py
+++ b/poplarrelay/systems/ticketing.py
@@ -109,7 +109,7 @@
 
 
 def _end_unreachable(world: World, request: Request, now: float) -> Iterator[Effect]:
-    outcome = Unknown(UnknownReason.HOME_UNREACHABLE, OWNER_RETRY_S)
+    outcome = Unknown(UnknownReason.OWNER_UNREACHABLE, OWNER_RETRY_S)
     yield from conclude(world, request, outcome, now)
 
 
--- a/poplarrelay/tables/endpoints.py
+++ b/poplarrelay/tables/endpoints.py
@@ -83,7 +83,7 @@
         Price of its host per hour.
     leaving_at : float or None
         Monotonic time at which the endpoint leaves, if that was announced.
-    sent : dict of RequestId to int
+    running_attempts : dict of RequestId to int
         Attempts that this node has running at the endpoint, with the prompt tokens
         that each adds.
     polled_at, used_at : float
@@ -102,7 +102,7 @@
         Prompt prefixes sent to the endpoint, with the monotonic time of each.
     loaded : frozenset of str or None
         Models that the engine reports as loaded; None if it does not report them.
-    ordering : bool
+    order_in_flight : bool
         Whether an order to the engine is in flight.
     """
 
@@ -122,8 +122,8 @@
     polled_at: float = float("-inf")
     poll_jitter: float = 1.0
     used_at: float = float("-inf")
-    polling: bool = False
-    sent: dict[RequestId, int] = field(default_factory=dict)
+    poll_in_flight: bool = False
+    running_attempts: dict[RequestId, int] = field(default_factory=dict)
     changes: deque[LoadChange] = field(default_factory=deque)
     failures: int = 0
     poll_failures: int = 0
@@ -131,18 +131,18 @@
     closed_until: float = 0.0
     prefixes: dict[str, float] = field(default_factory=dict)
     loaded: frozenset[str] | None = None
-    ordering: bool = False
+    order_in_flight: bool = False
     next_order_at: float = 0.0
 
     def note_sent(self, request: RequestId, tokens: int, now: float) -> None:
         """Record a request sent to this endpoint, with its prompt tokens."""
-        self.sent[request] = tokens
+        self.running_attempts[request] = tokens
         self.used_at = now
         self.changes.append(LoadChange(now, 1, tokens))
 
     def note_ended(self, request: RequestId, now: float) -> None:
         """Record that a request has ended at this endpoint or moved to another one."""
-        if self.sent.pop(request, None) is not None:
+        if self.running_attempts.pop(request, None) is not None:
             self.changes.append(LoadChange(now, -1))
 
     def note_report(self, report: LoadReport, now: float, lag_s: float) -> None:
--- a/poplarrelay/tables/members.py
+++ b/poplarrelay/tables/members.py
@@ -51,7 +51,7 @@
         Monotonic time of the last direct reply.
     changed_at : float
         Monotonic time of the last change of status.
-    told : int
+    times_sent : int
         Number of times that the row has been sent since its last change.
     """
 
@@ -70,4 +70,4 @@
     successor: NodeId | None = None
     last_seen_at: float = float("-inf")
     changed_at: float = 0.0
-    told: int = 0
+    times_sent: int = 0
--- a/poplarrelay/tables/requests.py
+++ b/poplarrelay/tables/requests.py
@@ -157,7 +157,7 @@
 class MovePlan:
     """Plan to continue a running request at another endpoint."""
 
-    way: MoveMethod
+    method: MoveMethod
     successor: Attempt
 
 
--- a/poplarrelay/tables/world.py
+++ b/poplarrelay/tables/world.py
@@ -167,7 +167,7 @@
         Source of every random choice of the systems.
     me : Member
         This node's own row.
-    collecting : list of Record
+    unfolded_records : list of Record
         Configuration records read so far, until they include a snapshot to start from.
     endpoints : dict of EndpointId to Endpoint
         Endpoints by id.
@@ -198,9 +198,9 @@
     inherited_incarnations : dict of Incarnation to float
         Incarnations that left and handed their tickets to this node, with the
         monotonic time of the handover.
-    refuse_from : float
+    reject_from : float
         Monotonic time from which a leaving node rejects new requests.
-    kept_answers, kept_bytes : int
+    stored_answers, stored_bytes : int
         Number and size of the answers stored for repetitions and for deferred
         requests, at the last sweep.
     log_clock : float or None
@@ -216,15 +216,15 @@
     drain_until: float = float("inf")
     streams: dict[StreamName, StreamPosition] = field(default_factory=dict)
     configuration: ConfigurationTable = field(default_factory=ConfigurationTable)
-    collecting: list[Record] = field(default_factory=list)
+    unfolded_records: list[Record] = field(default_factory=list)
     pending_changes: dict[RecordId, PendingChange] = field(default_factory=dict)
     endpoints: dict[EndpointId, Endpoint] = field(default_factory=dict)
     requests: dict[RequestId, Request] = field(default_factory=dict)
     leases: dict[str, Lease] = field(default_factory=dict)
     lease_requests: dict[RecordId, LeaseRequest] = field(default_factory=dict)
-    next_bid_at: dict[str, float] = field(default_factory=dict)
-    take_at: dict[str, float] = field(default_factory=dict)
-    given_up: set[str] = field(default_factory=set)
+    next_lease_request_at: dict[str, float] = field(default_factory=dict)
+    lease_attempt_at: dict[str, float] = field(default_factory=dict)
+    released_duties: set[str] = field(default_factory=set)
     next_snapshot_at: float = 0.0
     next_capacity_at: float = 0.0
     demand: dict[str, Demand] = field(default_factory=dict)
@@ -242,9 +242,9 @@
     notified_domains: dict[DomainId, float] = field(default_factory=dict)
     inherited_incarnations: dict[Incarnation, float] = field(default_factory=dict)
     handover: HandoverState | None = None
-    refuse_from: float = float("inf")
-    kept_answers: int = 0
-    kept_bytes: int = 0
+    reject_from: float = float("inf")
+    stored_answers: int = 0
+    stored_bytes: int = 0
     handover_at: float = float("inf")
     log_clock: float | None = None
     next_probe_at: float = 0.0
@@ -252,7 +252,7 @@
     next_fetch_at: float = 0.0
     next_sweep_at: float = 0.0
     probe_round: int = 0
-    sent: int = 0
+    attempts_sent: int = 0
     peer_last_seen_at: float = float("-inf")
     probe_ring: list[NodeId] = field(default_factory=list)
     _counter: count[int] = field(default_factory=count)
--- a/poplarrelay/testing/endpoint_lists.py
+++ b/poplarrelay/testing/endpoint_lists.py
@@ -23,8 +23,8 @@
 
 __all__ = [
     "EndpointListNetwork",
-    "ListNode",
     "Envelope",
+    "ListNode",
     "StoredTopic",
     "endpoint_record",
 ]
@@ -78,7 +78,7 @@
             if offset >= start
         ]
 
-    def written(self, key: str, before: float) -> int:
+    def last_offset_before(self, key: str, before: float) -> int:
         """Return the offset of a key's last record before a time, -1 if none."""
         offsets = [
             offset
@@ -200,20 +200,20 @@
         """
         return self.state.freshness.confirmed_at - self.clock_offset_s
 
-    def read(self, answer_after_s: float = 0.0, whole: bool = False) -> None:
+    def read(self, reply_delay_s: float = 0.0, whole: bool = False) -> None:
         """Read the store, and apply its reply.
 
         Parameters
         ----------
-        answer_after_s : float
+        reply_delay_s : float
             Seconds until the store replies; simulated time advances by them.
         whole : bool
             Whether to read the newest record of each key instead of the records
             after the known offset.
         """
         freshness = self.state.freshness
-        sent_at, start = self.now(), freshness.as_of
-        self.network.now += answer_after_s
+        sent_at, start = self.now(), freshness.known_offset
+        self.network.now += reply_delay_s
         topic = self.network.topic
         end = topic.end
         if whole or sent_at - freshness.confirmed_at > 1e6:
@@ -222,7 +222,7 @@
             self.endpoints.apply_records(topic.since(start))
         freshness.note_read(sent_at, end)
 
-    def uses(self, name: str) -> bool:
+    def accepts_work_at(self, name: str) -> bool:
         """Return whether the node has an endpoint that accepts new requests."""
         row = self.state.endpoints.rows.get(EndpointId(name))
         return row is not None and row.accepts_work
@@ -251,7 +251,7 @@
         """Reply to a request for changes."""
         self.network.post(self.name, [host], reply)
 
-    def read_when_due(self, answer_after_s: float) -> None:
+    def read_when_due(self, reply_delay_s: float) -> None:
         """Begin a read if one is due, or apply the reply of the pending read."""
         network, freshness = self.network, self.state.freshness
         pending = self.pending
@@ -260,7 +260,7 @@
             freshness.note_read(pending.sent_at, pending.end)
         elif pending is None and freshness.due_in_s(self.now()) <= 0:
             self.reads += 1
-            answered_at = network.now + answer_after_s
+            answered_at = network.now + reply_delay_s
             self.pending = PendingRead(self.now(), network.topic.end, answered_at)
             self.exchange.announce_read(self.now())
 
@@ -340,7 +340,7 @@
         seconds: float,
         step_s: float,
         latency_s: float,
-        answer_after_s: float | None = None,
+        reply_delay_s: float | None = None,
     ) -> None:
         """Advance simulated time; all messages have the same latency.
 
@@ -350,7 +350,7 @@
             Time to simulate, and length of a step.
         latency_s : float
             Seconds that a message is in transit.
-        answer_after_s : float or None
+        reply_delay_s : float or None
             Seconds until the store replies to a read; if None, no node reads it.
         """
         end = self.now + seconds
@@ -358,8 +358,8 @@
         while self.now < end:
             self.now += step_s
             for node in self.nodes.values():
-                if answer_after_s is not None:
-                    node.read_when_due(answer_after_s)
+                if reply_delay_s is not None:
+                    node.read_when_due(reply_delay_s)
                 node.exchange.tick(node.now())
             scheduled += [(self.now + latency_s, e) for e in self.in_transit]
             self.in_transit.clear()
--- a/poplarrelay/testing/entry_site.py
+++ b/poplarrelay/testing/entry_site.py
@@ -17,10 +17,10 @@
 import orjson
 
 from poplarrelay.entry.http.connection import (
+    CompleteResponse,
     Connection,
     Headers,
     ResponseHead,
-    WholeResponse,
 )
 from poplarrelay.entry.process import EntryNode
 from poplarrelay.entry.settings import EntrySettings, parse_address
@@ -207,7 +207,7 @@
         Listener of the store for each node, by the name of the node.
     started : list of EntryProcess
         All processes that were started, including those replaced since.
-    linked : bool
+    use_links : bool
         Whether nodes reach the store and the endpoints through links, with which a
         test can simulate network faults.
     links : dict of str to Link
@@ -221,7 +221,7 @@
     runners: dict[str, RunnerStandIn] = field(default_factory=dict)
     processes: dict[str, EntryProcess] = field(default_factory=dict)
     started: list[EntryProcess] = field(default_factory=list)
-    linked: bool = False
+    use_links: bool = False
     links: dict[str, Link] = field(default_factory=dict)
     _settings: dict[str, EntrySettings] = field(default_factory=dict)
     _tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)
@@ -242,7 +242,7 @@
 
     def _reachable_address(self, name: str, address: str) -> str:
         """Return the address of the link to `address`, or `address` without links."""
-        if not self.linked:
+        if not self.use_links:
             return address
         if name not in self.links:
             self.links[name] = Link("127.0.0.1", address)
@@ -335,7 +335,7 @@
         self.processes[name] = started
         return started
 
-    async def end_node(self, name: str) -> None:
+    async def wait_until_ended(self, name: str) -> None:
         """Wait until a node that is stopping has ended."""
         await self._tasks[name]
 
@@ -476,22 +476,22 @@
 
     async def call(
         self, path: str, node: str = "a", body: bytes = b"", **more: str
-    ) -> WholeResponse:
+    ) -> CompleteResponse:
         """Send a request on a new connection, and return the complete response."""
         connection = await self.open(path, node, body, **more)
         try:
             async with asyncio.timeout(CONDITION_TIMEOUT_S):
-                return await connection.whole_response(1_000_000)
+                return await connection.complete_response(1_000_000)
         finally:
             connection.abort()
 
-    async def get(self, listener: str, path: str, node: str = "a") -> WholeResponse:
+    async def get(self, listener: str, path: str, node: str = "a") -> CompleteResponse:
         """Send a GET request to one of a node's listeners, and return the response."""
         connection = await Connection.open(*self.address(node, listener), 2.0)
         connection.send(b"GET", path.encode(), [(b"Host", b"node")], b"")
         try:
             async with asyncio.timeout(CONDITION_TIMEOUT_S):
-                return await connection.whole_response(1_000_000)
+                return await connection.complete_response(1_000_000)
         finally:
             connection.abort()
 
--- a/poplarrelay/testing/fakes.py
+++ b/poplarrelay/testing/fakes.py
@@ -62,7 +62,7 @@
 from poplarrelay.systems.gossiping import gossip_rows, merge_row, own_row
 from poplarrelay.systems.keys import ticket_prefix
 from poplarrelay.systems.lookups import (
-    LookupElsewhere,
+    LookupAtPeers,
     LookupResult,
     SearchResult,
     combine_search,
@@ -141,7 +141,7 @@
 
     Attributes
     ----------
-    home : str
+    owner : str
         Name of the node that owns the request.
     repeatable : bool
         Whether the request can run more than once.
@@ -149,18 +149,18 @@
         Whether the caller has received the id.
     copied : bool
         Whether a peer had confirmed a copy when the request was accepted.
-    told : str or None
+    fetched_outcome : str or None
         Tag of the outcome that the caller has fetched.
     runs : int
         Number of runs at the service.
     """
 
     id: RequestId
-    home: str
+    owner: str
     repeatable: bool
     accepted: bool = False
     copied: bool = False
-    told: str | None = None
+    fetched_outcome: str | None = None
     runs: int = 0
 
 
@@ -368,11 +368,11 @@
             Tag of the outcome, or the value of a `SearchResult`.
         """
         found = self._request_lookup(name, deferral.id, forwarded=False)
-        if isinstance(found, LookupElsewhere):
+        if isinstance(found, LookupAtPeers):
             return self._look_up_at_peers(deferral, found)
         return self._describe_result(found)
 
-    def _look_up_at_peers(self, deferral: Deferral, found: LookupElsewhere) -> str:
+    def _look_up_at_peers(self, deferral: Deferral, found: LookupAtPeers) -> str:
         copies, silent = False, set()
         for peer in found.peers:
             node = self._node_at(peer)
@@ -531,7 +531,7 @@
                 self._query_copies(action.node, effect, lost)
 
     def _append(self, action: Action, effect: AppendRecord, lost: bool) -> None:
-        if self.now >= effect.until:
+        if self.now >= effect.expires_at:
             return
         if self.log.up:
             self.log.append(effect.stream, effect.value)
@@ -578,7 +578,7 @@
         if owner is None or owner.dead:
             node.inbox.append(unanswered)
             return
-        stored = effect.stored
+        message = effect.message
         request = RequestId(f"{effect.request}~{next(self._call_ids)}")
         origin = self.submissions.get(effect.request)
         if origin is not None:
@@ -594,15 +594,15 @@
             RequestArrived(
                 id=request,
                 token_sha256="",
-                work=decode_work(stored),
-                request_class=RequestClass(stored.request_class),
-                timeout_s=stored.remaining_s,
+                work=decode_work(message),
+                request_class=RequestClass(message.request_class),
+                timeout_s=message.remaining_s,
                 received=self.now,
-                key=IdempotencyKey(stored.key or ""),
+                key=IdempotencyKey(message.key or ""),
                 forwarded=True,
-                team=TeamId(stored.team),
-                age_s=stored.age_s,
-                home_clock=stored.home_clock,
+                team=TeamId(message.team),
+                age_s=message.age_s,
+                home_clock=message.home_clock,
             ),
         )
 
@@ -660,7 +660,7 @@
 
     # -- running until idle ------------------------------------------------
 
-    def settle(self, rounds: int = 40) -> None:
+    def run_rounds(self, rounds: int = 40) -> None:
         """Read the log, run ticks and perform all actions for a number of rounds."""
         for _ in range(rounds):
             for name in self.nodes:
--- a/poplarrelay/testing/links.py
+++ b/poplarrelay/testing/links.py
@@ -23,7 +23,7 @@
 class LinkState(Enum):
     """How a link treats connections and their data.
 
-    WHOLE
+    INTACT
         The link forwards all data.
     CUT
         The link closes new and open connections.
@@ -36,7 +36,7 @@
         The link forwards all data after a delay.
     """
 
-    WHOLE = "whole"
+    INTACT = "whole"
     CUT = "cut"
     ONE_WAY = "one-way"
     SILENT = "silent"
@@ -57,7 +57,7 @@
     def __init__(self, host: str, target: str) -> None:
         self._target = target
         self._listener = socket.create_server((host, 0))
-        self._state = LinkState.WHOLE
+        self._state = LinkState.INTACT
         self._resets = 0
         self._stopping = False
         threading.Thread(target=self._accept, daemon=True).start()
@@ -68,7 +68,7 @@
         host, port = self._listener.getsockname()[:2]
         return f"{host}:{port}"
 
-    def set(self, state: LinkState) -> None:
+    def set_state(self, state: LinkState) -> None:
         """Change the state; open connections follow it too."""
         self._state = state
 
--- a/poplarrelay/testing/network.py
+++ b/poplarrelay/testing/network.py
@@ -15,14 +15,14 @@
 from poplarrelay.entry.process import GOSSIP_S, TICK_S
 from poplarrelay.identifiers import DomainId, Incarnation, NodeId, TeamId
 
-__all__ = ["USE_PER_S", "Network"]
+__all__ = ["USAGE_PER_S", "Network"]
 
 #: Teams of a large site.
 TEAMS = 19
 #: Endpoints of the site, and those at which one node has requests running.
 ENDPOINTS, BUSY_ENDPOINTS = 45, 4
 #: Tokens per second that each team uses at each node.
-USE_PER_S = 1_000.0
+USAGE_PER_S = 1_000.0
 #: Nodes that every node knows from the start.
 SEEDS = 3
 
@@ -64,7 +64,7 @@
         Gossip, peer table and crash table of each node, by host.
     dead : set of str
         Hosts of the nodes that have ended.
-    rounds_lost : bool
+    drop_rounds : bool
         Whether to lose all datagrams except requests for a row and their replies.
     """
 
@@ -77,13 +77,13 @@
     crashes: dict[str, CrashTable] = field(default_factory=dict)
     dead: set[str] = field(default_factory=set)
     rng: Random = field(default_factory=Random)
-    rounds_lost: bool = False
+    drop_rounds: bool = False
     _queue: list[tuple[str, str, bytes]] = field(default_factory=list)
     _replying: bool = False
     _next_round_at: dict[str, float] = field(default_factory=dict)
 
     @classmethod
-    def starting(cls, count: int, loss: float, seed: int) -> Network:
+    def create(cls, count: int, loss: float, seed: int) -> Network:
         """Return a network in which each node knows only three seeds."""
         network = cls(count, loss, seed, rng=Random(seed))
         for index in range(count):
@@ -116,7 +116,7 @@
 
     def send(self, sender: str, target: str, data: bytes) -> None:
         """Queue a datagram for the next step unless it is lost."""
-        if self.rounds_lost and not self._replying and b"ask" not in decompress(data):
+        if self.drop_rounds and not self._replying and b"ask" not in decompress(data):
             return
         if self.rng.random() >= self.loss:
             self._queue.append((target, sender, data))
@@ -143,8 +143,8 @@
     def _run_round(self, host: str) -> None:
         table = self.tables[host]
         table.me.version += 1
-        used = USE_PER_S * (self.now - 1000.0)
-        table.me.spent = {team: used for team in table.me.spent}
+        used = USAGE_PER_S * (self.now - 1000.0)
+        table.me.used = {team: used for team in table.me.used}
         table.forget(self.now)
         table.regroup(self.count, self.now)
         self.nodes[host].run_round(list(self.nodes)[:SEEDS])
@@ -182,7 +182,7 @@
         state=NodeState.READY,
         configuration=ConfigurationVersion(1),
         usage={w: {t: rng.randrange(1, 9) for t in teams[::3]} for w in (1, 2)},
-        spent=dict.fromkeys(teams, 0.0),
+        used=dict.fromkeys(teams, 0.0),
         loads={e: rng.randrange(1, 4) for e in rng.sample(endpoints, BUSY_ENDPOINTS)},  # type: ignore[misc]
         demand={"llm": 1000},  # type: ignore[dict-item]
     )
--- a/poplarrelay/testing/permits.py
+++ b/poplarrelay/testing/permits.py
@@ -14,7 +14,13 @@
 from poplarrelay.entry.rate_limits import StatedLimit
 from poplarrelay.identifiers import DomainId, EndpointId, NodeId
 
-__all__ = ["ENDPOINT", "WINDOW_S", "PermitNetwork", "allowed", "max_in_window"]
+__all__ = [
+    "ENDPOINT",
+    "WINDOW_S",
+    "PermitNetwork",
+    "max_in_window",
+    "max_requests_in_window",
+]
 
 ENDPOINT = EndpointId("e")
 STEP_S = 0.01
@@ -33,7 +39,7 @@
     )
 
 
-def allowed(per_s: float) -> float:
+def max_requests_in_window(per_s: float) -> float:
     """Return the maximum number of requests in a window for a limit of `per_s`.
 
     All nodes together can exceed the stated limit by half of it and 5 requests.
@@ -80,7 +86,7 @@
     _queue: list[tuple[str, str, list[list[Any]]]] = field(default_factory=list)
 
     @classmethod
-    def starting(cls, count: int, loss: float = 0.0, seed: int = 1) -> PermitNetwork:
+    def create(cls, count: int, loss: float = 0.0, seed: int = 1) -> PermitNetwork:
         """Return a network of nodes that list each other and one endpoint."""
         network = cls(count, loss, Random(seed))
         hosts = [f"host-{number}" for number in range(count)]
--- a/poplarrelay/testing/prefill_simulation.py
+++ b/poplarrelay/testing/prefill_simulation.py
@@ -69,10 +69,10 @@
         Number of nodes.
     speeds : tuple of float
         Prefill rate of each engine in tokens per second.
-    asks : bool
+    requests_backlogs : bool
         Whether nodes request the queued tokens of the engines from the coordinator.
         If not, a node uses its own prompts and the load reports of the other nodes.
-    admits : callable or None
+    is_admitted : callable or None
         Returns whether to send a prompt to the endpoint that was chosen for it.
     simulated : list of SimulatedPrompt
         Results, in the order of first events and refusals.
@@ -80,9 +80,9 @@
 
     nodes: int
     speeds: tuple[float, ...]
-    asks: bool
+    requests_backlogs: bool
     seed: int
-    admits: Callable[[Choice], bool] | None = None
+    is_admitted: Callable[[Choice], bool] | None = None
     simulated: list[SimulatedPrompt] = field(default_factory=list)
     _tables: list[list[Endpoint]] = field(default_factory=list)
     _coordinator: BacklogTable = field(default_factory=BacklogTable)
@@ -138,7 +138,7 @@
         for index, row in enumerate(self._tables[0]):
             total = sum(rows[index].running for rows in self._tables)
             for rows in self._tables:
-                rows[index].elsewhere = total - rows[index].running
+                rows[index].running_at_other_nodes = total - rows[index].running
             assert row.load == total
 
     def _make_arrival(
@@ -152,7 +152,7 @@
             )
             candidates = sample_candidates(self._tables[node], criteria, now, rng)
             cached_tokens = {}
-            for row in candidates if self.asks else ():
+            for row in candidates if self.requests_backlogs else ():
                 view = self._coordinator.view(
                     f"n{node}", row.endpoint, [shared.part], now
                 )
@@ -163,7 +163,9 @@
                 if candidates
                 else None
             )
-            if choice is None or (self.admits is not None and not self.admits(choice)):
+            if choice is None or (
+                self.is_admitted is not None and not self.is_admitted(choice)
+            ):
                 self.simulated.append(SimulatedPrompt(now, total_tokens, None))
                 return
             self._send(node, choice, shared, total_tokens, now)
--- a/poplarrelay/testing/rows.py
+++ b/poplarrelay/testing/rows.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from poplarrelay.entry.cells import Cell, CellSummary, Member
+from poplarrelay.entry.cells import Cell, CellMember, CellSummary
 from poplarrelay.entry.configuration import ConfigurationVersion
 from poplarrelay.entry.peer_rows import NodeState, PeerRow
 from poplarrelay.identifiers import DomainId, Incarnation, NodeId
@@ -38,9 +38,9 @@
         version=version,
         epoch=0,
         started_ms=1,
-        members=tuple(Member(NodeId(h), h, ready, configuration) for h in hosts),
+        members=tuple(CellMember(NodeId(h), h, ready, configuration) for h in hosts),
         usage={},
-        spent={},
+        used={},
         loads={},
         demand={},
     )
@@ -50,7 +50,7 @@
     count: int, loss: float = 0.0, settle_s: float = 0.0, seed: int = 1
 ) -> Network:
     """Return a network that starts with three known seeds and runs for some seconds."""
-    network = Network.starting(count, loss, seed)
+    network = Network.create(count, loss, seed)
     for _ in network.run(settle_s):
         pass
     return network
--- a/poplarrelay/testing/soak/callers.py
+++ b/poplarrelay/testing/soak/callers.py
@@ -142,7 +142,7 @@
             (b"Content-Length", str(len(body)).encode()),
         ]
         connection.send(b"POST", f"/{sent.kind}/x".encode(), headers, body)
-        response = await connection.whole_response(1_000_000)
+        response = await connection.complete_response(1_000_000)
         sent.status = response.status
         sent.body = response.body
         sent.ending = Ending.ANSWERED
--- a/poplarrelay/testing/soak/run.py
+++ b/poplarrelay/testing/soak/run.py
@@ -72,7 +72,7 @@
 )
 #: Ways in which an endpoint can mishandle a request.
 _ENDPOINT_FAULTS = list(Fault)
-_LINK_STATES = [state for state in LinkState if state is not LinkState.WHOLE]
+_LINK_STATES = [state for state in LinkState if state is not LinkState.INTACT]
 _OUTAGES = [outage for outage in Outage if outage is not Outage.NONE]
 
 
@@ -291,9 +291,9 @@
 
     async def _disturb_link(self, name: str, rng: Random, duration_s: float) -> None:
         link = self.site.links[name]
-        link.set(rng.choice(_LINK_STATES))
+        link.set_state(rng.choice(_LINK_STATES))
         await asyncio.sleep(duration_s)
-        link.set(LinkState.WHOLE)
+        link.set_state(LinkState.INTACT)
 
     async def _reset_link(self, rng: Random, duration_s: float) -> None:
         self.site.links[rng.choice(sorted(self.site.links))].reset()
@@ -380,7 +380,7 @@
         self.crash_bodies.clear()
         await asyncio.gather(*self.recoveries)
         for link in self.site.links.values():
-            link.set(LinkState.WHOLE)
+            link.set_state(LinkState.INTACT)
         for store_listener in self.site.store_listeners.values():
             store_listener.outage = Outage.NONE
             store_listener.lose_answers = False
@@ -437,7 +437,7 @@
     folder : pathlib.Path
         Folder for the settings and logs of the nodes.
     """
-    site = EntrySite(StoreStandIn(), CloudStandIn("127.0.0.1"), linked=True)
+    site = EntrySite(StoreStandIn(), CloudStandIn("127.0.0.1"), use_links=True)
     await site.cloud.start()
     run = SoakRun(site, size, Random(seed), folder)
     plan = draw_plan(seed, size.length_s, size.fault_kinds)
--- a/poplarrelay/testing/steps.py
+++ b/poplarrelay/testing/steps.py
@@ -12,13 +12,13 @@
 __all__ = [
     "PROMPT",
     "SHORT_TIMEOUTS",
+    "book_seat",
     "busy_endpoint",
     "busy_node",
-    "confirm",
     "drain_stream",
+    "expected_tokens",
     "run_counts",
     "start_stream",
-    "whole",
 ]
 
 PROMPT = "officer notes of one family " * 40
@@ -35,7 +35,7 @@
 }
 
 
-def whole(prompt: str, count: int) -> list[str]:
+def expected_tokens(prompt: str, count: int) -> list[str]:
     """Return the tokens of a complete answer of `count` tokens."""
     return [token_text(prompt, index) for index in range(count)]
 
@@ -78,7 +78,7 @@
         pass
 
 
-def confirm(
+def book_seat(
     site: RunningSite,
     key: str | None,
     seat: str,
--- a/poplarrelay/testing/tests/test_at_most_once_on_processes.py
+++ b/poplarrelay/testing/tests/test_at_most_once_on_processes.py
@@ -8,7 +8,7 @@
 
 from poplarrelay.client import AnswerNotRun, AnswerUnknown
 from poplarrelay.testing.processes import wait_until
-from poplarrelay.testing.steps import busy_node, confirm, run_counts
+from poplarrelay.testing.steps import book_seat, busy_node, run_counts
 
 pytestmark = pytest.mark.processes
 
@@ -45,7 +45,7 @@
 def test_request_runs_once_when_append_reply_is_lost(site):
     # The log appends the claim but does not reply to the node in time.
     site.faults("log", lose_answers=2, lost_s=2.0)
-    assert confirm(site, "lost-append", "one").status == 200
+    assert book_seat(site, "lost-append", "one").status == 200
     assert run_counts(site) == [1]
 
 
@@ -57,12 +57,12 @@
     wait_until(lambda: not site.status("node-1")["log_available"], 5.0)
     started = time.monotonic()
     with pytest.raises(AnswerNotRun) as caught:
-        confirm(site, "in-outage", "one", timeout_s=0.9)
+        book_seat(site, "in-outage", "one", timeout_s=0.9)
     assert caught.value.retry_after_s is not None
     assert time.monotonic() - started < 2.0
-    assert confirm(site, None, "two").status == 200
+    assert book_seat(site, None, "two").status == 200
     site.faults("log")
-    assert confirm(site, "in-outage", "one").status == 200
+    assert book_seat(site, "in-outage", "one").status == 200
     assert run_counts(site) == [1, 1]
 
 
@@ -75,11 +75,11 @@
     owner = next(n for n, p in site.nodes.items() if p.address == address)
     site.nodes[owner].freeze()
     with pytest.raises(AnswerUnknown):
-        confirm(site, ticket, "frozen", timeout_s=3.0)
+        book_seat(site, ticket, "frozen", timeout_s=3.0)
     site.nodes[owner].thaw()
     wait_until(lambda: site.ready(owner))
     with contextlib.suppress(AnswerUnknown):
-        confirm(site, ticket, "frozen", timeout_s=5.0)
+        book_seat(site, ticket, "frozen", timeout_s=5.0)
     assert sum(run_counts(site)) <= 1
 
 
@@ -92,7 +92,7 @@
 
     def send_request():
         try:
-            confirm(site, "crashed", "one", timeout_s=6.0)
+            book_seat(site, "crashed", "one", timeout_s=6.0)
         except (AnswerNotRun, AnswerUnknown) as failure:
             failures.append(failure)
 
@@ -109,12 +109,12 @@
 def test_service_that_runs_request_without_reply_is_unknown(site):
     site.faults("desk-1", lose_answers=1, lost_s=5.0)
     with pytest.raises(AnswerUnknown):
-        confirm(site, None, "silent", timeout_s=2.0)
+        book_seat(site, None, "silent", timeout_s=2.0)
     assert run_counts(site) == [1]
 
 
 def test_restarted_node_has_its_earlier_claims(site):
-    first = confirm(site, "before", "one")
+    first = book_seat(site, "before", "one")
 
     def claiming_node():
         # The node can write the log line after the caller has received the response.
@@ -128,6 +128,6 @@
     site.start_node(owner)
     wait_until(lambda: site.ready(owner))
     with pytest.raises(AnswerUnknown):
-        confirm(site, "before", "one", timeout_s=2.0)
+        book_seat(site, "before", "one", timeout_s=2.0)
     assert first.status == 200
     assert run_counts(site) == [1]
--- a/poplarrelay/testing/tests/test_configuration.py
+++ b/poplarrelay/testing/tests/test_configuration.py
@@ -206,12 +206,12 @@
     # Only this node is partitioned from the log. It must get a change that its peers
     # accept from them, and stay ready.
     link = _restart_behind_link(site, "node-3")
-    link.set(LinkState.CUT)
+    link.set_state(LinkState.CUT)
     wait_until(lambda: not log_available(site, "node-3"))
     accepted = change(site, "node-1", 71)
     wait_everywhere(site, accepted["offset"])
     assert site.ready("node-3")
-    link.set(LinkState.WHOLE)
+    link.set_state(LinkState.INTACT)
     link.stop()
 
 
@@ -219,11 +219,11 @@
     # The log gets the appends of the node, but its replies are lost. A change sent
     # through this node can come into force, and the node must not answer "accepted".
     link = _restart_behind_link(site, "node-3")
-    link.set(LinkState.ONE_WAY)
+    link.set_state(LinkState.ONE_WAY)
     wait_until(lambda: not log_available(site, "node-3"))
     answer = change(site, "node-3", 81)
     assert answer["status"] in (503, 504)
-    link.set(LinkState.WHOLE)
+    link.set_state(LinkState.INTACT)
     wait_until(lambda: log_available(site, "node-3"))
     accepted = change(site, "node-1", 82)
     wait_everywhere(site, accepted["offset"])
@@ -233,9 +233,9 @@
 def test_single_node_partitioned_from_log_is_not_ready():
     with run_site(small_site(nodes=1, engines=1), settings=SHORT_TIMEOUTS) as running:
         link = _restart_behind_link(running, "node-1")
-        link.set(LinkState.CUT)
+        link.set_state(LinkState.CUT)
         wait_until(lambda: not running.ready("node-1"), 10.0)
-        link.set(LinkState.WHOLE)
+        link.set_state(LinkState.INTACT)
         wait_until(lambda: running.ready("node-1"), 10.0)
         link.stop()
 
--- a/poplarrelay/testing/tests/test_leaving_endpoints.py
+++ b/poplarrelay/testing/tests/test_leaving_endpoints.py
@@ -10,8 +10,8 @@
     PROMPT,
     busy_endpoint,
     drain_stream,
+    expected_tokens,
     start_stream,
-    whole,
 )
 
 pytestmark = pytest.mark.processes
@@ -26,9 +26,9 @@
     def complete(number):
         prompt = f"{PROMPT} {number}"
         client = site.client("alpha", seed=number)
-        results[number] = client.complete("small", prompt, 300).tokens == whole(
-            prompt, 300
-        )
+        results[number] = client.complete(
+            "small", prompt, 300
+        ).tokens == expected_tokens(prompt, 300)
 
     threads = [threading.Thread(target=complete, args=(n,)) for n in range(12)]
     for thread in threads:
@@ -72,4 +72,4 @@
     stream, result = start_stream(site, 500)
     site.notice(2.0, endpoint=wait_until(lambda: busy_endpoint(site)))
     drain_stream(stream)
-    assert result.tokens == whole(PROMPT, 500)
+    assert result.tokens == expected_tokens(PROMPT, 500)
--- a/poplarrelay/testing/tests/test_leaving_nodes.py
+++ b/poplarrelay/testing/tests/test_leaving_nodes.py
@@ -16,8 +16,8 @@
     PROMPT,
     busy_node,
     drain_stream,
+    expected_tokens,
     start_stream,
-    whole,
 )
 
 pytestmark = pytest.mark.processes
@@ -34,7 +34,7 @@
     node = site.nodes[wait_until(lambda: busy_node(site))]
     node.signal(signal.SIGTERM)
     drain_stream(stream)
-    assert result.tokens == whole(PROMPT, 150)
+    assert result.tokens == expected_tokens(PROMPT, 150)
     assert result.streams == 1
     assert node.popen.wait(timeout=20.0) == 0
 
@@ -46,7 +46,7 @@
     node = site.nodes[wait_until(lambda: busy_node(site))]
     node.signal(signal.SIGTERM)
     drain_stream(stream)
-    assert result.tokens == whole(PROMPT, 900)
+    assert result.tokens == expected_tokens(PROMPT, 900)
     assert result.streams == 2
     assert node.popen.wait(timeout=20.0) == 0
 
@@ -91,7 +91,7 @@
     assert node.popen.wait(timeout=20.0) == 0
     ended_at = time.time()
     drain_stream(stream)
-    assert result.tokens == whole(PROMPT, 900)
+    assert result.tokens == expected_tokens(PROMPT, 900)
     steps = {line.get("step"): line for line in node.log_lines()}
     assert steps["hurrying"]["within_s"] < steps["leaving"]["within_s"]
     assert _seconds(steps["left"]) - _seconds(steps["leaving"]) < 6.0
@@ -150,8 +150,10 @@
     found = wait_until(
         lambda: _fetched_text(others, unfinished), 30.0, "the second report"
     )
-    assert found == "".join(whole("second report", 400))
-    assert _fetched_text(others, answered) == "".join(whole("first report", 3))
+    assert found == "".join(expected_tokens("second report", 400))
+    assert _fetched_text(others, answered) == "".join(
+        expected_tokens("first report", 3)
+    )
 
 
 def test_responses_survive_a_peer_that_was_paused(site):
--- a/poplarrelay/testing/tests/test_teams.py
+++ b/poplarrelay/testing/tests/test_teams.py
@@ -5,7 +5,7 @@
 import pytest
 
 from poplarrelay.client import RequestRefused
-from poplarrelay.testing.steps import confirm, run_counts
+from poplarrelay.testing.steps import book_seat, run_counts
 
 pytestmark = pytest.mark.processes
 
@@ -19,9 +19,9 @@
 
 
 def test_key_reused_for_another_request_is_rejected(site):
-    confirm(site, "reused", "one")
+    book_seat(site, "reused", "one")
     with pytest.raises(RequestRefused) as caught:
-        confirm(site, "reused", "two")
+        book_seat(site, "reused", "two")
     assert caught.value.problem["status"] == 422
 
 
--- a/poplarrelay/testing/tests/test_whole_answers.py
+++ b/poplarrelay/testing/tests/test_whole_answers.py
@@ -8,8 +8,8 @@
     busy_endpoint,
     busy_node,
     drain_stream,
+    expected_tokens,
     start_stream,
-    whole,
 )
 
 pytestmark = pytest.mark.processes
@@ -38,7 +38,7 @@
     for number in range(4):
         prompt = f"{PROMPT} {number}"
         result = site.client("alpha", seed=number).complete("small", prompt, 40)
-        results.append(result.tokens == whole(prompt, 40))
+        results.append(result.tokens == expected_tokens(prompt, 40))
     assert results == [True] * 4
 
 
@@ -49,7 +49,7 @@
     engine = wait_until(lambda: busy_endpoint(site))
     site.endpoints[engine].freeze()
     drain_stream(stream)
-    assert result.tokens == whole(PROMPT, 200)
+    assert result.tokens == expected_tokens(PROMPT, 200)
     assert result.streams == 1
 
 
@@ -59,7 +59,7 @@
     stream, result = start_stream(site, 200)
     site.nodes[wait_until(lambda: busy_node(site))].kill()
     drain_stream(stream)
-    assert result.tokens == whole(PROMPT, 200)
+    assert result.tokens == expected_tokens(PROMPT, 200)
     assert result.streams >= 2
 
 
@@ -74,4 +74,4 @@
     for each in accepted:
         found = client.wait_for(each.id, 40.0)
         text = found.document["response"]["choices"][0]["text"]
-        assert text == "".join(whole(PROMPT, 30))
+        assert text == "".join(expected_tokens(PROMPT, 30))
