--- a/poplarrelay/client/caller.py
+++ b/poplarrelay/client/caller.py
@@ -210,7 +210,13 @@
                 self._pause_before_retry(failure, deadline)
 
     def _pause_before_retry(self, failure: ClientError, deadline: float) -> None:
-        """Wait as the failure states; raise it if the wait would reach the deadline."""
+        """Wait for the time that the failure states.
+
+        Raises
+        ------
+        ClientError
+            The failure, if the wait would reach the deadline.
+        """
         pause = failure.retry_after_s
         pause = DEFAULT_PAUSE_S if pause is None else min(MAX_PAUSE_S, pause)
         pause *= 0.5 + self._rng.random()
--- a/poplarrelay/commands/tests/test_command_line.py
+++ b/poplarrelay/commands/tests/test_command_line.py
@@ -44,7 +44,7 @@
     assert json.loads(done.stdout)["deployments"] == 5
 
 
-def test_every_fault_of_a_configuration_is_reported_with_its_place(tmp_path):
+def test_every_fault_of_a_configuration_is_reported_with_its_path(tmp_path):
     path = tmp_path / "bad.json"
     template = template_body(limits={"max_running": 0}, colour="red")
     deployment = deployment_body("alpha", priority="high")
@@ -70,7 +70,7 @@
     assert "deployments.0.limits.max_running" in done.stderr
 
 
-def test_malformed_json_is_reported_with_its_place(tmp_path):
+def test_malformed_json_is_reported_with_its_position(tmp_path):
     path = tmp_path / "bad.json"
     path.write_text('{"templates": [,]}')
     done = run("config", "check", path)
--- a/poplarrelay/identifiers.py
+++ b/poplarrelay/identifiers.py
@@ -21,7 +21,7 @@
     "TeamId",
 ]
 
-#: Name of a node. Its settings fix it, so it survives restarts.
+#: Name of a node. It comes from the node's settings, so a restart does not change it.
 NodeId = NewType("NodeId", str)
 #: One run of a node's process. A restart creates a new incarnation.
 Incarnation = NewType("Incarnation", str)
--- a/poplarrelay/messages/calls.py
+++ b/poplarrelay/messages/calls.py
@@ -32,7 +32,7 @@
         Monotonic time at which the request's head was read.
     age_s : float
         Seconds that the request spent at another node before.
-    home_clock : float or None
+    owner_clock : float or None
         Set for a forwarded request; see `RequestMessage`.
     deferred : bool
         Whether the caller fetches the answer later by request id.
@@ -51,7 +51,7 @@
     forwarded: bool = False
     team: TeamId | None = None
     age_s: float = 0.0
-    home_clock: float | None = None
+    owner_clock: float | None = None
 
 
 class AttemptResult(Enum):
--- a/poplarrelay/messages/encoding.py
+++ b/poplarrelay/messages/encoding.py
@@ -97,7 +97,7 @@
 
 
 def encode_request(
-    request: Request, now: float, home_clock: float = 0.0
+    request: Request, now: float, owner_clock: float = 0.0
 ) -> RequestMessage:
     """Return the message that encodes a request."""
     work = request.work
@@ -121,7 +121,7 @@
         key=request.key,
         remaining_s=request.deadline - now,
         age_s=now - request.arrived,
-        home_clock=home_clock,
+        home_clock=owner_clock,
         first_token_s=request.first_token_s,
         deferred=request.deferred,
         outcome=None if outcome is None else encode_outcome(outcome),
--- a/poplarrelay/messages/inbox.py
+++ b/poplarrelay/messages/inbox.py
@@ -14,8 +14,8 @@
 )
 from poplarrelay.messages.peers import (
     AllPeersAnswered,
-    ConfigurationAsked,
     ConfigurationReceived,
+    ConfigurationRequested,
     CopiesAnswered,
     CopiesQueried,
     CopyAnswered,
@@ -41,12 +41,12 @@
     StartRefused,
 )
 from poplarrelay.messages.questions import (
-    AddressesAsked,
-    ChangeAsked,
-    HistoryAsked,
-    LookupAsked,
-    ShutdownAsked,
-    StatusAsked,
+    AddressesRequested,
+    ChangeRequested,
+    HistoryRequested,
+    LookupRequested,
+    ShutdownRequested,
+    StatusRequested,
 )
 
 __all__ = ["Inbox", "Message"]
@@ -72,12 +72,12 @@
     | KeyAnswered
     | AllPeersAnswered
     | ForwardAnswered
-    | AddressesAsked
-    | StatusAsked
-    | HistoryAsked
-    | LookupAsked
-    | ChangeAsked
-    | ConfigurationAsked
+    | AddressesRequested
+    | StatusRequested
+    | HistoryRequested
+    | LookupRequested
+    | ChangeRequested
+    | ConfigurationRequested
     | ConfigurationReceived
     | CopyReceived
     | CopiesAnswered
@@ -85,7 +85,7 @@
     | CopyAnswered
     | HandoverReceived
     | HandoverAnswered
-    | ShutdownAsked
+    | ShutdownRequested
 )
 
 MessageT = TypeVar("MessageT")
@@ -96,8 +96,8 @@
 
     Examples
     --------
-    >>> inbox = Inbox([ShutdownAsked(5.0)])
-    >>> [message.within_s for message in inbox.of(ShutdownAsked)]
+    >>> inbox = Inbox([ShutdownRequested(5.0)])
+    >>> [message.within_s for message in inbox.of(ShutdownRequested)]
     [5.0]
     """
 
--- a/poplarrelay/messages/peers.py
+++ b/poplarrelay/messages/peers.py
@@ -21,7 +21,7 @@
 
 __all__ = [
     "AllPeersAnswered",
-    "ConfigurationAsked",
+    "ConfigurationRequested",
     "ConfigurationReceived",
     "CopiesAnswered",
     "CopiesQueried",
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigurationAsked:
+class ConfigurationRequested:
     """A peer requests all configuration in force."""
 
     call: CallId
--- a/poplarrelay/messages/questions.py
+++ b/poplarrelay/messages/questions.py
@@ -8,13 +8,13 @@
 from poplarrelay.identifiers import Offset, RequestId, TeamId
 
 __all__ = [
-    "AddressesAsked",
+    "AddressesRequested",
     "CallId",
-    "ChangeAsked",
-    "HistoryAsked",
-    "LookupAsked",
-    "ShutdownAsked",
-    "StatusAsked",
+    "ChangeRequested",
+    "HistoryRequested",
+    "LookupRequested",
+    "ShutdownRequested",
+    "StatusRequested",
 ]
 
 #: Identifier of a call whose thread waits for a reply.
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AddressesAsked:
+class AddressesRequested:
     """A caller requests the addresses of nodes to use."""
 
     call: CallId
@@ -30,21 +30,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StatusAsked:
+class StatusRequested:
     """An operator requests the status that this node sees."""
 
     call: CallId
 
 
 @dataclass(frozen=True, slots=True)
-class HistoryAsked:
+class HistoryRequested:
     """An operator requests the newest configuration changes."""
 
     call: CallId
 
 
 @dataclass(frozen=True, slots=True)
-class LookupAsked:
+class LookupRequested:
     """A caller requests the state of a deferred request.
 
     Attributes
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChangeAsked:
+class ChangeRequested:
     """An operator publishes a configuration change.
 
     Attributes
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShutdownAsked:
+class ShutdownRequested:
     """An operator or a signal requests that the node leaves.
 
     Attributes
--- a/poplarrelay/node/arrivals.py
+++ b/poplarrelay/node/arrivals.py
@@ -9,7 +9,8 @@
 
 #: Seconds without a tick after which the process counts as frozen.
 FREEZE_S = 0.75
-#: Seconds after a freeze in which data that is read can have arrival_time during it.
+#: Seconds after a freeze for which data that is read can have arrived during the
+#: freeze.
 BACKLOG_S = 1.0
 
 
@@ -20,9 +21,9 @@
     -----
     Requests that arrive while the process is frozen wait in its socket buffers. If
     the node took the time of the read as their arrival time, they would get a new
-    deadline. A non-repeatable call could then run although another node has told
-    the caller "not run" in the meantime. Therefore a request that is read right
-    after a freeze gets the start of the freeze as its arrival time.
+    deadline. A non-repeatable call could then run although another node has
+    returned "not run" to the caller in the meantime. Therefore a request that is
+    read right after a freeze gets the start of the freeze as its arrival time.
 
     Examples
     --------
--- a/poplarrelay/node/caller_handlers.py
+++ b/poplarrelay/node/caller_handlers.py
@@ -23,7 +23,7 @@
 )
 from poplarrelay.identifiers import IdempotencyKey, RequestId
 from poplarrelay.messages.calls import RequestArrived
-from poplarrelay.messages.questions import AddressesAsked, LookupAsked
+from poplarrelay.messages.questions import AddressesRequested, LookupRequested
 from poplarrelay.node.completion_writer import (
     CompletionForm,
     CompletionWriter,
@@ -222,7 +222,7 @@
 
 
 def _close_after(body: Iterator[bytes], events: SessionEvents) -> Iterator[bytes]:
-    """Iterate over a body and close its session, also if the caller disconnects."""
+    """Iterate over a body and close its session, even if the caller disconnects."""
     try:
         yield from body
     finally:
@@ -331,7 +331,7 @@
             digest = read_token_digest()
         except CallerError as error:
             raise reject(error) from None
-        found = self._gateway.call(lambda call: LookupAsked(call, digest, request))
+        found = self._gateway.call(lambda call: LookupRequested(call, digest, request))
         if isinstance(found, CallerError):
             raise reject(found)
         if isinstance(found, LookupAtPeers):
@@ -422,7 +422,7 @@
             digest = read_token_digest()
         except CallerError as error:
             raise reject(error) from None
-        answer = self._gateway.call(lambda call: AddressesAsked(call, digest))
+        answer = self._gateway.call(lambda call: AddressesRequested(call, digest))
         if isinstance(answer, CallerError):
             raise reject(answer)
         return answer_json(answer)
--- a/poplarrelay/node/effect_executor.py
+++ b/poplarrelay/node/effect_executor.py
@@ -211,8 +211,8 @@
     ) -> None:
         """Put an instruction into the mailboxes of the caller and of a deferred run.
 
-        A deferred request can run before its caller is told that it is accepted.
-        Therefore the thread that waits for the caller and the thread that runs the
+        A deferred request can run before its caller receives the acceptance. Therefore
+        the thread that waits for the caller and the thread that runs the
         request have separate mailboxes.
         """
         mailbox = self._mailboxes.find(request)
--- a/poplarrelay/node/log_threads.py
+++ b/poplarrelay/node/log_threads.py
@@ -26,7 +26,7 @@
 
 
 class _Backoff:
-    """Exponential backoff with jitter, so that nodes do not retry all at once."""
+    """Exponential backoff with jitter, so that nodes do not retry at the same time."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
--- a/poplarrelay/node/peer_client.py
+++ b/poplarrelay/node/peer_client.py
@@ -32,7 +32,8 @@
 FORWARD_GRACE_S = 0.5
 #: Timeout of a configuration transfer or a handover, in seconds.
 TRANSFER_TIMEOUT_S = 2.0
-#: Timeout of storing a copy, in seconds; the caller waits for "accepted" meanwhile.
+#: Timeout of storing a copy, in seconds; during this time the caller waits for
+#: "accepted".
 COPY_TIMEOUT_S = 0.7
 
 ModelT = TypeVar("ModelT", bound=BaseModel)
--- a/poplarrelay/node/peer_handlers.py
+++ b/poplarrelay/node/peer_handlers.py
@@ -31,7 +31,7 @@
     RequestMessage,
 )
 from poplarrelay.messages.peers import (
-    ConfigurationAsked,
+    ConfigurationRequested,
     CopiesQueried,
     CopyReceived,
     HandoverReceived,
@@ -39,11 +39,11 @@
     ProbeReceived,
 )
 from poplarrelay.messages.questions import (
-    ChangeAsked,
-    HistoryAsked,
-    LookupAsked,
-    ShutdownAsked,
-    StatusAsked,
+    ChangeRequested,
+    HistoryRequested,
+    LookupRequested,
+    ShutdownRequested,
+    StatusRequested,
 )
 from poplarrelay.node.caller_handlers import (
     COPY_FIELD,
@@ -138,7 +138,7 @@
     @cherrypy.expose
     def configuration(self) -> bytes:
         """Return the configuration in force."""
-        snapshot = self._call(ConfigurationAsked)
+        snapshot = self._call(ConfigurationRequested)
         if snapshot is None:
             raise ProblemResponse(Problem(503, "not-ready", "Not caught up yet"))
         return _answer_model(snapshot)
@@ -167,7 +167,7 @@
     def requests(self, request: str, team: str) -> bytes:
         """Return the state of a deferred request."""
         found = self._call(
-            lambda call: LookupAsked(
+            lambda call: LookupRequested(
                 call, "", RequestId(request), TeamId(team), forwarded=True
             )
         )
@@ -194,7 +194,7 @@
             forwarded=True,
             team=TeamId(message.team),
             age_s=message.age_s,
-            home_clock=message.home_clock,
+            owner_clock=message.home_clock,
         )
         events = self._gateway.serve(arrived)
         try:
@@ -240,12 +240,14 @@
         require_method("GET", "POST")
         self._check_token()
         if cherrypy.request.method == "GET":
-            return _answer_model(self._gateway.call(ConfigurationAsked))
+            return _answer_model(self._gateway.call(ConfigurationRequested))
         body = read_json(ChangeBody, MAX_PEER_BYTES)
         check_after = "after" in body.model_fields_set
         after = None if body.after is None else Offset(body.after)
         result = self._gateway.call(
-            lambda call: ChangeAsked(call, body.subject, body.body, after, check_after),
+            lambda call: ChangeRequested(
+                call, body.subject, body.body, after, check_after
+            ),
             PUBLISH_TIMEOUT_S + PUBLISH_GRACE_S,
         )
         return _answer_change(result)
@@ -255,7 +257,7 @@
         """Return the newest changes and which of them came into force."""
         require_method("GET")
         self._check_token()
-        return answer_json({"changes": self._gateway.call(HistoryAsked)})
+        return answer_json({"changes": self._gateway.call(HistoryRequested)})
 
     @cherrypy.expose
     def drain(self) -> bytes:
@@ -263,7 +265,7 @@
         require_method("POST")
         self._check_token()
         body = read_json(DrainBody, MAX_PEER_BYTES)
-        self._gateway.submit(ShutdownAsked(body.within_s))
+        self._gateway.submit(ShutdownRequested(body.within_s))
         return answer_json({"status": "leaving"}, status=202)
 
 
@@ -304,7 +306,7 @@
 
     def _status(self) -> NodeStatus:
         try:
-            status = self._gateway.call(StatusAsked, 2.0)
+            status = self._gateway.call(StatusRequested, 2.0)
         except CallTimedOut:
             raise _timeout_problem() from None
         assert isinstance(status, NodeStatus)
--- a/poplarrelay/node/process.py
+++ b/poplarrelay/node/process.py
@@ -13,7 +13,7 @@
 from poplarrelay.engines.http import HttpEngine, HttpService
 from poplarrelay.exception import PlatformError
 from poplarrelay.identifiers import Incarnation
-from poplarrelay.messages.questions import ShutdownAsked
+from poplarrelay.messages.questions import ShutdownRequested
 from poplarrelay.node.arrivals import ArrivalClock
 from poplarrelay.node.caller_handlers import CallersRoot
 from poplarrelay.node.effect_executor import EffectExecutor
@@ -36,12 +36,13 @@
 EXIT_OK = 0
 #: Exit code if the node aborted requests or could not hand over all its state.
 EXIT_UNCLEAN = 75
-#: Stack size of a thread; streams need little stack, and hundreds can run at once.
+#: Stack size of a thread; streams need little stack, and hundreds can run at the
+#: same time.
 THREAD_STACK_BYTES = 512 * 1024
 #: Seconds before the listeners stop, so that the last answer is written out.
-LINGER_S = 0.5
+FINAL_WRITE_S = 0.5
 #: Seconds in which the node leaves after a second signal.
-HURRIED_DRAIN_S = 2.0
+SECOND_SIGNAL_DRAIN_S = 2.0
 #: Seconds that a request for notices waits for the first notice.
 NOTICE_WAIT_S = 5.0
 
@@ -192,9 +193,11 @@
         signals: list[int] = []
 
         def leave(number: int, frame: FrameType | None) -> None:
-            drain_s = HURRIED_DRAIN_S if signals else self._settings.timing.drain_s
+            drain_s = (
+                SECOND_SIGNAL_DRAIN_S if signals else self._settings.timing.drain_s
+            )
             signals.append(number)
-            self._loop.submit(ShutdownAsked(drain_s))
+            self._loop.submit(ShutdownRequested(drain_s))
 
         signal.signal(signal.SIGTERM, leave)
         signal.signal(signal.SIGINT, leave)
@@ -203,7 +206,7 @@
         """Wait until the node has left, and return the exit code."""
         while not self._done.wait(timeout=1.0):
             continue
-        time.sleep(LINGER_S)
+        time.sleep(FINAL_WRITE_S)
         for reader in self._readers:
             reader.stop()
         self._appender.stop()
--- a/poplarrelay/node/sessions.py
+++ b/poplarrelay/node/sessions.py
@@ -142,8 +142,8 @@
     Attributes
     ----------
     result : AttemptResult or None
-        Result to report to the tick thread; None if the tick thread has ended the
-        request already.
+        Result to report to the tick thread if the request does not move. None if the
+        request moves as planned, or if the tick thread has already ended it.
     move_plan : MovePlan or None
         Set if the request continues at another endpoint.
     cache_source : CacheSource or None
@@ -221,9 +221,9 @@
 
         Notes
         -----
-        The session checks the deadline right before it sends the attempt. The
-        process can have been frozen since the tick thread decided, and after the
-        deadline the caller is told that the request has ended.
+        The session checks the deadline right before it sends the attempt. The process
+        may have been frozen since the tick thread's decision. After the deadline, the
+        caller may already have the request's end, so the attempt must not start.
         """
         attempt = instruction.attempt
         self._keyed = instruction.keyed
@@ -334,7 +334,7 @@
         raise EndpointBroken("the stream closed without an end event")
 
     def _start_export(self, attempt: Attempt, plan: MovePlan) -> bool:
-        """Return whether the export of the cache started; False if no move needs it.
+        """Start the export if the plan moves the cache; return whether it started.
 
         The stream continues until its end event says that the cache is exported.
         """
@@ -409,11 +409,14 @@
             raise EndpointBroken("a token index is missing from the stream")
         return True
 
-    def _report_progress(self, attempt: Attempt, before: int) -> None:
+    def _report_progress(self, attempt: Attempt, previous_count: int) -> None:
         """Report progress at the first token, then every `PROGRESS_TOKENS` tokens."""
         count = self._progress.next_index
-        first = len(self._progress.texts) == count - before
-        if first or count // PROGRESS_TOKENS > before // PROGRESS_TOKENS:
+        is_first_report = len(self._progress.texts) == count - previous_count
+        if (
+            is_first_report
+            or count // PROGRESS_TOKENS > previous_count // PROGRESS_TOKENS
+        ):
             self._runtime.submit(AttemptProgressed(self._request, attempt.id, count))
 
     def _check_running(self, attempt: Attempt) -> None:
--- a/poplarrelay/replay/generate.py
+++ b/poplarrelay/replay/generate.py
@@ -1,8 +1,9 @@
 """Generate traces of a shortened day from a seed.
 
-The load follows that of the two users. Demand halves at night. Prompts of one family
-share a long prefix. Bookings arrive in bursts. Urgent queries are mixed with patient
-reports. The platform reclaims an engine in one failure domain, then in a second one.
+The load imitates one of the two organizations in `Day`. Demand halves at night. Prompts
+of one family share a long prefix. Bookings arrive in bursts. Urgent queries are mixed
+with patient reports. The platform reclaims an engine in one failure domain, then in a
+second one.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class Day(Enum):
-    """User whose load a trace imitates."""
+    """Organization whose load a trace imitates."""
 
     CEREMONY = "ceremony"
     HARBOUR = "harbour"
--- a/poplarrelay/replay/judge.py
+++ b/poplarrelay/replay/judge.py
@@ -1,4 +1,4 @@
-"""Compare the results of a replay with the outcomes that its trace states."""
+"""Compare the results of a replay with the targets that its trace states."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissedOutcome:
-    """Stated outcome that a replay did not reach.
+    """Stated target that a replay did not reach.
 
     Attributes
     ----------
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class ReplayEvaluation:
-    """Figures of a replay and the stated outcomes that it did not reach."""
+    """Figures of a replay and the stated targets that it did not reach."""
 
     name: str
     requests: int
@@ -60,7 +60,7 @@
 
     @property
     def good(self) -> bool:
-        """Return whether the replay reached all stated outcomes."""
+        """Return whether the replay reached all stated targets."""
         return not self.broken
 
 
@@ -109,7 +109,7 @@
 
 
 def evaluate_replay(replay: Replay) -> ReplayEvaluation:
-    """Return the figures of a replay and each stated outcome that it did not reach."""
+    """Return the figures of a replay and each stated target that it did not reach."""
     trace, results = replay.trace, replay.results
     doubled = [r for r in results if replay.runs.get(r.run_name, 0) > 1]
     false_not_run = [
--- a/poplarrelay/replay/tests/test_replay.py
+++ b/poplarrelay/replay/tests/test_replay.py
@@ -32,7 +32,7 @@
     assert read_trace(path) == trace
 
 
-def test_every_fault_of_a_trace_is_reported(trace, tmp_path):
+def test_every_error_in_a_trace_file_is_reported(trace, tmp_path):
     path = tmp_path / "trace.jsonl"
     write_trace(path, trace)
     lines = path.read_text().splitlines()
@@ -58,26 +58,26 @@
     return Replay(trace, results, runs, 8.0)
 
 
-def test_a_replay_with_all_answers_reaches_every_stated_outcome(trace):
+def test_a_replay_with_all_answers_reaches_every_stated_target(trace):
     assert evaluate_replay(_make_replay(trace)).good
 
 
 @pytest.mark.parametrize(
-    ("word", "outcome"),
+    ("word", "criterion"),
     [
         (ReplayOutcome.UNKNOWN, "lost"),
         (ReplayOutcome.FRAGMENT, "fragments"),
         (ReplayOutcome.NOT_RUN, "false_not_run"),
     ],
 )
-def test_each_missed_outcome_names_its_request(trace, word, outcome):
+def test_each_missed_target_names_its_request(trace, word, criterion):
     replay = _make_replay(trace, word=word)
     broken = {b.outcome: b for b in evaluate_replay(replay).broken}
-    assert broken[outcome].requests == (trace.requests[0].id,)
-    assert outcome in report_html(evaluate_replay(replay), replay)
+    assert broken[criterion].requests == (trace.requests[0].id,)
+    assert criterion in report_html(evaluate_replay(replay), replay)
 
 
-def test_a_doubled_run_is_a_missed_outcome(trace):
+def test_a_doubled_run_is_a_missed_target(trace):
     replay = _make_replay(trace)
     replay.runs[replay.results[0].run_name] = 2
     assert [b.outcome for b in evaluate_replay(replay).broken] == ["doubled"]
@@ -101,10 +101,12 @@
         target.write_text(json.dumps(site.replay_target()))
         command = [sys.executable, "-m", "poplarrelay", "replay", str(trace_path)]
         command += ["--target", str(target), "--report", str(page), "--json"]
-        done = subprocess.run(command, capture_output=True, check=False, timeout=90)
-    report = json.loads(done.stdout)
+        completed = subprocess.run(
+            command, capture_output=True, check=False, timeout=90
+        )
+    report = json.loads(completed.stdout)
     assert report["doubled"] == report["fragments"] == report["false_not_run"] == 0
     assert report["lost"] == 0
     assert report["requests"] == len(trace.requests)
-    assert done.returncode == (0 if report["good"] else 1)
+    assert completed.returncode == (0 if report["good"] else 1)
     assert "<svg" in page.read_text()
--- a/poplarrelay/replay/trace.py
+++ b/poplarrelay/replay/trace.py
@@ -1,7 +1,7 @@
 """Read and write traces.
 
 A trace is a file of JSON lines. The first line is the head, which holds the stated
-outcomes. The other lines are requests and platform events.
+targets. The other lines are requests and platform events.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 class StatedOutcomes(StrictModel):
-    """Bounds on the outcomes of a replay.
+    """Targets of a replay: bounds on the outcomes of its requests.
 
     Attributes
     ----------
--- a/poplarrelay/systems/admitting.py
+++ b/poplarrelay/systems/admitting.py
@@ -92,7 +92,7 @@
         deadline=arrived.received + timeout,
         first_token_s=targets.first_token_s,
         key=arrived.key,
-        home_clock=arrived.home_clock,
+        owner_clock=arrived.owner_clock,
         deferred=arrived.deferred,
     )
 
--- a/poplarrelay/systems/attempting.py
+++ b/poplarrelay/systems/attempting.py
@@ -28,7 +28,7 @@
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import World
 
-__all__ = ["follow_attempts"]
+__all__ = ["process_attempt_results"]
 
 #: Consecutive failures after which an endpoint gets no new work for a pause.
 BREAKER_FAILURES = 2
@@ -40,7 +40,7 @@
 FAILED_RETRY_S = 0.5
 
 
-def follow_attempts(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def process_attempt_results(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Record the progress of attempts; conclude or retry those that have ended."""
     for progressed in inbox.of(AttemptProgressed):
         request = world.requests.get(progressed.request)
--- a/poplarrelay/systems/capacity.py
+++ b/poplarrelay/systems/capacity.py
@@ -6,7 +6,7 @@
 start consists of the model, the failure domain, the machine class and the lowest free
 number. If the answer to a start was lost, or an earlier holder of the duty sent it, the
 host is in the list or the start is sent again with the same token. So no host is
-started twice, and no host stays unnoticed while it is paid for.
+started twice, and every host that is paid for is in the holder's list.
 """
 
 from __future__ import annotations
--- a/poplarrelay/systems/claiming.py
+++ b/poplarrelay/systems/claiming.py
@@ -46,7 +46,7 @@
 
 __all__ = [
     "fold_claims",
-    "follow_claims",
+    "check_claims",
     "follow_key_queries",
     "resolve_caller_key",
 ]
@@ -200,17 +200,17 @@
     yield AppendRecord(CLAIMS, value, request.claim_until)
 
 
-def follow_claims(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def check_claims(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Check whether claims in flight have won, have lost or have timed out."""
     for request_id in sorted(world.claiming):
         request = world.requests.get(request_id)
         if request is None or request.state is not RequestState.CLAIMING:
             world.claiming.discard(request_id)
         else:
-            yield from _follow_claim(world, request, now)
+            yield from _check_claim(world, request, now)
 
 
-def _follow_claim(world: World, request: Request, now: float) -> Iterator[Effect]:
+def _check_claim(world: World, request: Request, now: float) -> Iterator[Effect]:
     key = world.team_key(request)
     assert key is not None
     execution = world.key_executions[key]
--- a/poplarrelay/systems/concluding.py
+++ b/poplarrelay/systems/concluding.py
@@ -135,7 +135,7 @@
         The request to end; nothing happens if it has ended already.
     outcome : Outcome
         Outcome of the request. An `Answered` outcome is final, and the caller gets it
-        at once.
+        immediately.
     now : float
         Monotonic time.
     """
@@ -167,9 +167,9 @@
 
     Notes
     -----
-    A deferred request that ends without an answer is rejected at once only if no copy
-    has been sent to a peer. Otherwise a peer could run the request after its caller
-    got "not run".
+    A deferred request that ends without an answer is rejected immediately only if no
+    copy has been sent to a peer. Otherwise a peer could run the request after its
+    caller got "not run".
     """
     if not request.deferred:
         return False
--- a/poplarrelay/systems/configuring.py
+++ b/poplarrelay/systems/configuring.py
@@ -33,9 +33,9 @@
     Reply,
 )
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.peers import ConfigurationAsked, ConfigurationReceived
+from poplarrelay.messages.peers import ConfigurationReceived, ConfigurationRequested
 from poplarrelay.messages.platform import LogFailed, RecordsRead
-from poplarrelay.messages.questions import ChangeAsked
+from poplarrelay.messages.questions import ChangeRequested
 from poplarrelay.messages.records import (
     ChangeRecord,
     Record,
@@ -375,27 +375,33 @@
 
 def publish_changes(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Check operators' changes, append them to the log, and report timeouts."""
-    for asked in inbox.of(ChangeAsked):
-        yield from _publish(world, asked, now)
+    for requested in inbox.of(ChangeRequested):
+        yield from _publish(world, requested, now)
     for record, pending in list(world.pending_changes.items()):
         if now >= pending.until:
             del world.pending_changes[record]
             yield Reply(pending.call, ConfigurationUnconfirmed(pending.subject))
 
 
-def _publish(world: World, asked: ChangeAsked, now: float) -> Iterator[Effect]:
+def _publish(world: World, requested: ChangeRequested, now: float) -> Iterator[Effect]:
     position = world.streams[CONFIGURATION]
     if not position.caught_up or not position.available:
-        yield Reply(asked.call, LogUnavailable("the log cannot be reached"))
+        yield Reply(requested.call, LogUnavailable("the log cannot be reached"))
         return
-    current = world.configuration.entries.get(asked.subject)
+    current = world.configuration.entries.get(requested.subject)
     current_offset = None if current is None else current.offset
-    if asked.check_after and asked.after != current_offset:
-        yield Reply(asked.call, ConfigurationConflict(asked.subject, current_offset))
+    if requested.check_after and requested.after != current_offset:
+        yield Reply(
+            requested.call, ConfigurationConflict(requested.subject, current_offset)
+        )
         return
     until = now + PUBLISH_TIMEOUT_S
     pending = PendingChange(
-        asked.call, asked.subject, until, asked.body, not asked.check_after
+        requested.call,
+        requested.subject,
+        until,
+        requested.body,
+        not requested.check_after,
     )
     yield from _send_change(world, pending)
 
@@ -425,10 +431,10 @@
     node. A node that starts during the outage can get the configuration only from its
     peers.
     """
-    for asked in inbox.of(ConfigurationAsked):
+    for requested in inbox.of(ConfigurationRequested):
         caught_up = world.streams[CONFIGURATION].caught_up
         snapshot = take_snapshot(world, world.new_record_id()) if caught_up else None
-        yield Reply(asked.call, snapshot)
+        yield Reply(requested.call, snapshot)
     position = world.streams[CONFIGURATION]
     if now < world.next_fetch_at or (position.available and position.caught_up):
         return
--- a/poplarrelay/systems/discovering.py
+++ b/poplarrelay/systems/discovering.py
@@ -9,7 +9,7 @@
 from poplarrelay.identifiers import DomainId
 from poplarrelay.messages.effects import Effect, Reply
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.questions import AddressesAsked
+from poplarrelay.messages.questions import AddressesRequested
 from poplarrelay.systems.admitting import team_of
 from poplarrelay.systems.keys import ticket_prefix
 from poplarrelay.tables.members import Member, MemberStatus
@@ -67,8 +67,8 @@
 
     Notes
     -----
-    Nodes that are suspected or leaving are omitted at once. The order is random, so
-    that callers who use the first address spread evenly.
+    Nodes that are suspected or leaving are omitted immediately. The order is random,
+    so that callers who use the first address spread evenly.
     """
     world.me.epoch = world.epoch(now)
     members = _candidates(world)
@@ -96,10 +96,10 @@
 
 def answer_addresses(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Reply to callers who ask for addresses."""
-    for asked in inbox.of(AddressesAsked):
+    for requested in inbox.of(AddressesRequested):
         try:
-            team_of(world, asked.token_sha256)
+            team_of(world, requested.token_sha256)
         except AuthenticationFailed as error:
-            yield Reply(asked.call, error)
+            yield Reply(requested.call, error)
             continue
-        yield Reply(asked.call, choose_addresses(world, now))
+        yield Reply(requested.call, choose_addresses(world, now))
--- a/poplarrelay/systems/draining.py
+++ b/poplarrelay/systems/draining.py
@@ -39,7 +39,7 @@
 )
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.peers import HandoverAnswered, HandoverReceived
-from poplarrelay.messages.questions import ShutdownAsked
+from poplarrelay.messages.questions import ShutdownRequested
 from poplarrelay.outcomes import Continued, Outcome, Unknown, UnknownReason
 from poplarrelay.systems.concluding import conclude, remove_request, requeue
 from poplarrelay.systems.gossiping import own_row, raise_version
@@ -49,7 +49,7 @@
 from poplarrelay.tables.requests import Request, RequestState, WorkKind
 from poplarrelay.tables.world import HandoverState, NodePhase, World
 
-__all__ = ["drain", "take_handovers"]
+__all__ = ["drain", "process_handovers"]
 
 #: Fraction of the time to leave during which new requests are still accepted.
 ACCEPT_SHARE = 0.3
@@ -63,8 +63,8 @@
 
 def drain(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Process shutdown requests and run the next step of leaving."""
-    for asked in inbox.of(ShutdownAsked):
-        yield from _begin_leaving(world, asked.within_s, now)
+    for requested in inbox.of(ShutdownRequested):
+        yield from _begin_leaving(world, requested.within_s, now)
     if world.phase is not NodePhase.DRAINING:
         return
     yield from _process_acknowledgements(world, inbox)
@@ -260,7 +260,7 @@
     yield StopProcess(clean)
 
 
-def take_handovers(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def process_handovers(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Take over tickets, keys and requests from peers that leave.
 
     Notes
--- a/poplarrelay/systems/endpoint_monitoring.py
+++ b/poplarrelay/systems/endpoint_monitoring.py
@@ -43,7 +43,7 @@
 POLL_PAUSE_S = 2.0
 #: Seconds after its last request for which an endpoint counts as in use.
 IN_USE_S = 5.0
-#: Smallest number of peers to which a new notice is forwarded at once.
+#: Smallest number of peers to which a new notice is forwarded immediately.
 MIN_FANOUT = 4
 
 
@@ -237,7 +237,7 @@
     -----
     Load reports are the largest part of an idle node's cost. So an endpoint that this
     node has not used for a while is polled at the longer `idle_poll_s`. The first
-    request sent to it restores the short interval at once.
+    request sent to it restores the short interval immediately.
     """
     timing = world.settings.timing
     in_use = bool(endpoint.running_attempts) or now - endpoint.used_at < IN_USE_S
--- a/poplarrelay/systems/key_ownership.py
+++ b/poplarrelay/systems/key_ownership.py
@@ -22,9 +22,9 @@
 
     Notes
     -----
-    The row of a node that left in order names its successor. A node that was declared
-    dead may only be paused or partitioned. It still counts as the owner as long as
-    its row has the same incarnation; a restarted process has no state of its
+    The row of a node that left after a clean stop names its successor. A node that was
+    declared dead can in fact be paused or partitioned. It still counts as the owner as
+    long as its row has the same incarnation; a restarted process has no state of its
     predecessor.
     """
     member = world.members.get(node)
--- a/poplarrelay/systems/key_resolution.py
+++ b/poplarrelay/systems/key_resolution.py
@@ -32,7 +32,8 @@
     world : World
         The tables.
     request : Request
-        A request of `world`. Its state stays RECEIVED if it can run at once.
+        A request of `world`. Its state stays RECEIVED if it can run
+        immediately.
     forwarded : bool
         Whether a peer forwarded the request; it must not be forwarded twice.
     now : float
--- a/poplarrelay/systems/leasing.py
+++ b/poplarrelay/systems/leasing.py
@@ -30,7 +30,7 @@
 
 #: Longest random delay in seconds before a node requests a free duty, so that not all
 #: nodes request it.
-TAKE_JITTER_S = 1.0
+LEASE_REQUEST_JITTER_S = 1.0
 #: Fraction of the term after which a lease is renewed.
 RENEW_SHARE = 0.33
 
@@ -110,7 +110,7 @@
         world.lease_attempt_at.pop(duty.value, None)
         return
     due_at = world.lease_attempt_at.setdefault(
-        duty.value, now + world.rng.random() * TAKE_JITTER_S
+        duty.value, now + world.rng.random() * LEASE_REQUEST_JITTER_S
     )
     if now >= due_at and _may_request(world, duty, now):
         yield from _request_lease(world, duty, term_s, now)
--- a/poplarrelay/systems/limits.py
+++ b/poplarrelay/systems/limits.py
@@ -138,9 +138,9 @@
 
     Notes
     -----
-    When many endpoints fail at once, all their requests in flight need a retry. The
-    budget bounds the additional attempts, so the remaining endpoints are not overloaded
-    as well.
+    When many endpoints fail at the same time, all their requests in flight need a
+    retry. The budget bounds the additional attempts, so the remaining endpoints are not
+    overloaded as well.
     """
     usage = world.team_usage(team)
     if usage.retry_tokens < 1.0:
--- a/poplarrelay/systems/lookups.py
+++ b/poplarrelay/systems/lookups.py
@@ -20,7 +20,7 @@
 from poplarrelay.messages.encoding import decode_outcome
 from poplarrelay.messages.gossip import RequestMessage
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.questions import LookupAsked
+from poplarrelay.messages.questions import LookupRequested
 from poplarrelay.outcomes import Outcome
 from poplarrelay.systems.admitting import team_of
 from poplarrelay.systems.key_ownership import owner_of
@@ -131,12 +131,12 @@
 
 def answer_lookups(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Answer callers' lookups of deferred requests."""
-    for lookup in inbox.of(LookupAsked):
+    for lookup in inbox.of(LookupRequested):
         yield Reply(lookup.call, _look_up(world, lookup))
 
 
 def _look_up(
-    world: World, lookup: LookupAsked
+    world: World, lookup: LookupRequested
 ) -> LookupResult | LookupAtPeers | RequestNotFound | AuthenticationFailed:
     """Return the state of a request; a request of another team counts as absent."""
     try:
@@ -153,9 +153,9 @@
     if lookup.forwarded and same_team:
         return LookupResult(None, copy=True)
     if request is None and not lookup.forwarded:
-        elsewhere = _nodes_to_query(world, lookup.id, team, same_team)
-        if elsewhere is not None:
-            return elsewhere
+        at_peers = _nodes_to_query(world, lookup.id, team, same_team)
+        if at_peers is not None:
+            return at_peers
     return RequestNotFound("the team has no such request")
 
 
--- a/poplarrelay/systems/moving.py
+++ b/poplarrelay/systems/moving.py
@@ -6,8 +6,8 @@
 chosen: finish at the endpoint, move the engine's KV cache, or recompute at another
 endpoint. Finishing has no cost, moving the cache costs transfer time, and recomputing
 costs the prompt tokens and the tokens produced so far. Requests to services always
-finish at the endpoint: their work may not be repeatable, and any other method could run
-it twice.
+finish at the endpoint: their work is possibly not repeatable, and any other method
+could run it twice.
 """
 
 from __future__ import annotations
--- a/poplarrelay/systems/reporting.py
+++ b/poplarrelay/systems/reporting.py
@@ -8,7 +8,7 @@
 
 from poplarrelay.messages.effects import Effect, Reply
 from poplarrelay.messages.inbox import Inbox
-from poplarrelay.messages.questions import HistoryAsked, StatusAsked
+from poplarrelay.messages.questions import HistoryRequested, StatusRequested
 from poplarrelay.tables.requests import RequestState
 from poplarrelay.tables.world import CLAIMS, CONFIGURATION, World
 
@@ -53,9 +53,9 @@
 
 def answer_status(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Reply to requests for the node's status or its configuration history."""
-    for asked in inbox.of(StatusAsked):
-        yield Reply(asked.call, _status(world))
-    for history_request in inbox.of(HistoryAsked):
+    for requested in inbox.of(StatusRequested):
+        yield Reply(requested.call, _status(world))
+    for history_request in inbox.of(HistoryRequested):
         yield Reply(history_request.call, tuple(world.configuration.history))
 
 
--- a/poplarrelay/systems/request_copies.py
+++ b/poplarrelay/systems/request_copies.py
@@ -3,8 +3,8 @@
 Notes
 -----
 A deferred request outlives its caller's connection, so its caller cannot notice that
-its owner has crashed. Everything that callers are told must survive that crash. A
-request is therefore accepted when a peer has stored a copy, and its outcome is
+its owner has crashed. Every reply that a caller has received must stay valid after that
+crash. A request is therefore accepted when a peer has stored a copy, and its outcome is
 published when that copy contains it. If no peer stores a copy, the request is accepted
 and its outcome is published without one.
 
@@ -172,7 +172,7 @@
     copy.in_flight = False
     reply = answered.reply
     if reply is not None and reply.moved:
-        yield from _leave_to_peer(world, request, copy, reply, now)
+        yield from _transfer_to_peer(world, request, copy, reply, now)
     elif reply is not None and reply.taken:
         copy.failed.clear()
         copy.maybe_taken_over = False
@@ -206,10 +206,14 @@
         yield AcceptDeferred(request.id)
 
 
-def _leave_to_peer(
+def _transfer_to_peer(
     world: World, request: Request, copy: SentCopy, reply: CopyReply, now: float
 ) -> Iterator[Effect]:
-    """Leave a request to the peer that took it over while this node was unreachable."""
+    """Transfer a request to the peer that took it over when this node was unreachable.
+
+    If the peer already has the outcome, this node adopts that outcome instead, unless
+    it has published its own.
+    """
     owner = world.members.get(copy.holder) if copy.holder else None
     copy.maybe_taken_over = False
     if reply.outcome is not None:
@@ -232,7 +236,7 @@
 def transfer_to(
     world: World, request: Request, held: HeldCopy, now: float
 ) -> Iterator[Effect]:
-    """Leave a request to the peer that also runs it, and hold a copy for that peer."""
+    """Transfer a request to the peer that also runs it, and hold a copy for it."""
     yield LogDecision(
         Decision.DEFER, (("request", request.id), ("left_to", held.owner))
     )
--- a/poplarrelay/systems/schedule.py
+++ b/poplarrelay/systems/schedule.py
@@ -7,9 +7,9 @@
 from poplarrelay.messages.effects import Effect
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.systems.admitting import admit_requests, cancel_abandoned
-from poplarrelay.systems.attempting import follow_attempts
+from poplarrelay.systems.attempting import process_attempt_results
 from poplarrelay.systems.capacity import scale_hosts
-from poplarrelay.systems.claiming import fold_claims, follow_claims, follow_key_queries
+from poplarrelay.systems.claiming import check_claims, fold_claims, follow_key_queries
 from poplarrelay.systems.configuring import (
     fold_configuration,
     publish_changes,
@@ -17,7 +17,7 @@
 )
 from poplarrelay.systems.discovering import answer_addresses
 from poplarrelay.systems.dispatching import dispatch_queue
-from poplarrelay.systems.draining import drain, take_handovers
+from poplarrelay.systems.draining import drain, process_handovers
 from poplarrelay.systems.endpoint_monitoring import (
     poll_endpoints,
     receive_notices,
@@ -43,7 +43,7 @@
     hold_copies,
     take_over_copies,
 )
-from poplarrelay.systems.ticketing import follow_forwards
+from poplarrelay.systems.ticketing import process_forward_replies
 from poplarrelay.tables.world import World
 
 __all__ = ["SYSTEMS", "System", "run_tick"]
@@ -62,12 +62,12 @@
     watch_suspects,
     update_readiness,
     answer_key_queries,
-    take_handovers,
+    process_handovers,
     drain,
-    follow_attempts,
-    follow_forwards,
+    process_attempt_results,
+    process_forward_replies,
     follow_key_queries,
-    follow_claims,
+    check_claims,
     cancel_abandoned,
     expire_requests,
     admit_requests,
--- a/poplarrelay/systems/takeover.py
+++ b/poplarrelay/systems/takeover.py
@@ -9,8 +9,8 @@
 request, takes precedence over the newest copy, and the newest copy over older ones. The
 holder waits for a peer that does not reply until that peer is declared dead itself.
 
-An owner that was only paused may run a request too. Work that must not be repeated, or
-that has a key, is therefore not run again but ends as unknown.
+The owner may have been paused, not crashed. It then runs the request as well. Work that
+must not be repeated, or that has a key, is therefore not run again but ends as unknown.
 """
 
 from __future__ import annotations
@@ -46,7 +46,8 @@
 
 __all__ = ["answer_copy_queries", "hold_copies", "take_over_copies"]
 
-#: Most peers that are queried before a request is taken over, the first by rank.
+#: Maximum number of peers, in rank order, that are queried before a request is taken
+#: over.
 MAX_QUERIED_PEERS = 4
 #: Seconds until a peer that has not replied, or has a newer copy, is queried again.
 QUERY_RETRY_S = 0.3
@@ -69,7 +70,7 @@
         yield from conclude(world, own, decode_outcome(message.request.outcome), now)
     if own is not None and own.outcome is not None:
         return CopyReply(taken=True, moved=True, outcome=encode_outcome(own.outcome))
-    if own is not None and not _yields_to_sender(world, message):
+    if own is not None and not _sender_keeps_request(world, message):
         return CopyReply(taken=True, moved=True)
     if own is not None:
         yield from transfer_to(world, own, _held_copy(message, now), now)
@@ -93,15 +94,16 @@
     )
 
 
-def _yields_to_sender(world: World, message: CopyMessage) -> bool:
-    """Return whether this node leaves a request to a peer that also runs it.
+def _sender_keeps_request(world: World, message: CopyMessage) -> bool:
+    """Return whether the sender, not this node, must run a request that both have.
 
     Notes
     -----
-    An owner that was declared dead leaves the request to the peer that took it over.
-    Both sides must decide for the same node; otherwise each could leave the request to
-    the other one.
+    The first owner transfers the request to the peer that took it over. Of two later
+    owners, the one with the smaller node name keeps the request. Both sides apply this
+    rule, so exactly one of them keeps it.
     """
+    # The third part of a request id is the incarnation of its first owner.
     first_owner = message.request.id.split(".")[2:3]
     if first_owner == [message.incarnation]:
         return False
@@ -150,7 +152,7 @@
         return
     queries: dict[NodeId, list[RequestId]] = {}
     for request_id, held in list(world.held_copies.items()):
-        _follow_successor(world, held)
+        _update_owner(world, held)
         if request_id in world.requests:
             del world.held_copies[request_id]
         elif _owner_is_gone(world, held, now):
@@ -188,7 +190,7 @@
     return owner.status is MemberStatus.DEAD
 
 
-def _follow_successor(world: World, held: HeldCopy) -> None:
+def _update_owner(world: World, held: HeldCopy) -> None:
     """Set the successor of an owner that has left as the owner of its copy."""
     owner = world.members.get(held.owner)
     if owner is None or owner.incarnation != held.incarnation:
@@ -257,7 +259,10 @@
 def _takes_precedence(
     world: World, held: HeldCopy, node: NodeId, status: CopyStatus
 ) -> bool:
-    """Return whether this node's copy is newer; of equal ones, by node name."""
+    """Return whether this node's copy takes precedence over the copy of a peer.
+
+    The newer copy does, or that of the greater node name if both are equally new.
+    """
     own = (held.request.copies, world.node)
     return own > (status.copies, node)
 
--- a/poplarrelay/systems/tests/test_at_most_once.py
+++ b/poplarrelay/systems/tests/test_at_most_once.py
@@ -2,7 +2,7 @@
 
 A caller gets an answer, "not run" or "unknown". Nodes pause, resume, crash, restart and
 leave, the log becomes unavailable, replies are lost, and actions are performed in any
-order. No key may run twice. A key must not run if a caller got "not run" for it,
+order. A key must not run twice. A key must not run if a caller got "not run" for it,
 because that caller can repeat the work under another key.
 """
 
--- a/poplarrelay/systems/tests/test_configuration_fold.py
+++ b/poplarrelay/systems/tests/test_configuration_fold.py
@@ -18,7 +18,7 @@
 from poplarrelay.messages.inbox import Inbox
 from poplarrelay.messages.peers import ConfigurationReceived
 from poplarrelay.messages.platform import RecordsRead
-from poplarrelay.messages.questions import CallId, ChangeAsked
+from poplarrelay.messages.questions import CallId, ChangeRequested
 from poplarrelay.messages.records import ChangeRecord, Record, encode_record
 from poplarrelay.systems.configuring import (
     fold_change,
@@ -61,7 +61,7 @@
         self.highest = {}
         self.sent = []
         self.paused = []
-        self.truth: list[dict] = [{}]
+        self.expected_states: list[dict] = [{}]
         self.table = ConfigurationTable()
         for name in ("n1", "n2", "n3"):
             self._start(name)
@@ -82,7 +82,7 @@
         self.records.append(value)
         if isinstance(value, ChangeRecord):
             fold_change(self.table, offset, value)
-        self.truth.append(_view(self.table))
+        self.expected_states.append(_view(self.table))
 
     def _read(self, name, limit):
         world = self.nodes[name]
@@ -113,8 +113,8 @@
         world.streams[CONFIGURATION].read_at = self.now
         self.calls += 1
         body = None if drop and number % 5 == 0 else _body(subject, number)
-        asked = ChangeAsked(CallId(self.calls), subject, body, None, False)
-        for effect in publish_changes(world, Inbox([asked]), self.now):
+        requested = ChangeRequested(CallId(self.calls), subject, body, None, False)
+        for effect in publish_changes(world, Inbox([requested]), self.now):
             value = getattr(effect, "value", None)
             if isinstance(value, ChangeRecord):
                 self.sent.append(value)
@@ -168,7 +168,7 @@
     def every_fold_is_the_log_up_to_there(self):
         for world in self.nodes.values():
             following = world.streams[CONFIGURATION].next
-            assert _view(world.configuration) == self.truth[following]
+            assert _view(world.configuration) == self.expected_states[following]
 
     @invariant()
     def no_version_goes_down(self):
@@ -189,7 +189,7 @@
             self._read(name, 1000)
         for world in self.nodes.values():
             if world.streams[CONFIGURATION].caught_up:
-                assert _view(world.configuration) == self.truth[-1]
+                assert _view(world.configuration) == self.expected_states[-1]
 
 
 Folding.TestCase.settings = settings(
@@ -244,8 +244,8 @@
 def _publish_on_second_node(log, after, checked):
     """Publish a change on the second node and return its record."""
     body = _body("deployment/alpha", 22)
-    asked = ChangeAsked(CallId(99), "deployment/alpha", body, after, checked)
-    effects = publish_changes(log.nodes["n2"], Inbox([asked]), log.now)
+    requested = ChangeRequested(CallId(99), "deployment/alpha", body, after, checked)
+    effects = publish_changes(log.nodes["n2"], Inbox([requested]), log.now)
     (sent,) = _effects_of(AppendRecord, effects)
     return sent.value
 
--- a/poplarrelay/systems/tests/test_copying.py
+++ b/poplarrelay/systems/tests/test_copying.py
@@ -182,7 +182,7 @@
 
 
 def test_search_is_incomplete_while_peers_are_declared_dead():
-    # Guards against a final "no such request" while its holder may be only paused.
+    # Guards against a final "no such request" while its holder may just be paused.
     system = FakeSystem(("n1", "n2", "n3", "n4"))
     deferral = system.defer("n1")
     system.tick_all()
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_two_owners_do_not_leave_a_request_to_each_other(system, first):
+def test_two_owners_do_not_transfer_a_request_to_each_other(system, first):
     # Guards against a request that no node runs. A holder took it over and was declared
     # dead, another peer took it over too, and both send each other a copy.
     deferral = system.defer("n1")
--- a/poplarrelay/systems/tests/test_leasing.py
+++ b/poplarrelay/systems/tests/test_leasing.py
@@ -23,8 +23,8 @@
     return token
 
 
-class Candidates:
-    """Nodes that request leases on one log, with a clock that the test advances."""
+class LeaseNodes:
+    """Nodes that compete for leases in one shared log; the test sets their clock."""
 
     def __init__(self, count=2):
         self.now = 100.0
@@ -51,9 +51,9 @@
             for offset, value in enumerate(self.records)
             if offset >= position.next
         )
-        following = Offset(len(self.records))
+        next_offset = Offset(len(self.records))
         batch = RecordsRead(
-            CONFIGURATION, position.next, Offset(0), following, None, records
+            CONFIGURATION, position.next, Offset(0), next_offset, None, records
         )
         list(fold_configuration(world, Inbox([batch]), self.now))
 
@@ -78,111 +78,111 @@
 
 
 @pytest.fixture
-def candidates():
-    return Candidates()
-
-
-def test_a_free_duty_gets_one_holder(candidates):
-    candidates.run(5.0, candidates.worlds)
-    assert len(candidates.holders()) == 1
-
-
-def test_the_first_of_two_concurrent_lease_records_wins(candidates):
-    one, other = candidates.worlds
-    candidates.run(0.0, [])
-    candidates.now += 2.0
-    for world in candidates.worlds:
-        candidates.lease_requests(world)
-    candidates.now += 2.0
-    for world in candidates.worlds:
-        candidates.records.extend(candidates.lease_requests(world))
-    for world in candidates.worlds:
-        candidates.read(world)
-    assert candidates.holders() == [one]
+def nodes():
+    return LeaseNodes()
+
+
+def test_a_free_duty_gets_one_holder(nodes):
+    nodes.run(5.0, nodes.worlds)
+    assert len(nodes.holders()) == 1
+
+
+def test_the_first_of_two_concurrent_lease_records_wins(nodes):
+    one, other = nodes.worlds
+    nodes.run(0.0, [])
+    # In the first round each node only draws its random delay. Two seconds later, the
+    # delays are over and both request the lease.
+    nodes.now += 2.0
+    for world in nodes.worlds:
+        nodes.lease_requests(world)
+    nodes.now += 2.0
+    for world in nodes.worlds:
+        nodes.records.extend(nodes.lease_requests(world))
+    for world in nodes.worlds:
+        nodes.read(world)
+    assert nodes.holders() == [one]
     assert fencing(one) == fencing(other)
 
 
-def test_the_holder_renews_and_keeps_the_duty(candidates):
-    candidates.run(5.0, candidates.worlds)
-    holder = candidates.holders()
-    first = fencing(candidates.worlds[0])
-    candidates.run(40.0, candidates.worlds)
-    assert candidates.holders() == holder
-    assert fencing(candidates.worlds[0]) > first
+def test_the_holder_renews_and_keeps_the_duty(nodes):
+    nodes.run(5.0, nodes.worlds)
+    holder = nodes.holders()
+    first = fencing(nodes.worlds[0])
+    nodes.run(40.0, nodes.worlds)
+    assert nodes.holders() == holder
+    assert fencing(nodes.worlds[0]) > first
 
 
-def test_a_paused_holder_has_stopped_before_another_begins(candidates):
+def test_a_paused_holder_has_stopped_before_another_begins(nodes):
     # Guards against two holders at a time. A paused holder receives no message that its
     # lease has expired. When it resumes, its own term must be over.
-    candidates.run(5.0, candidates.worlds)
-    (holder,) = candidates.holders()
-    other = next(w for w in candidates.worlds if w is not holder)
+    nodes.run(5.0, nodes.worlds)
+    (holder,) = nodes.holders()
+    other = next(w for w in nodes.worlds if w is not holder)
     before = fencing(other)
-    candidates.run(TERM_S + MARGIN_S + 3.0, [other])
-    assert candidates.holders() == [other]
-    assert remaining_term(holder, DUTY, candidates.now) == 0.0
+    nodes.run(TERM_S + MARGIN_S + 3.0, [other])
+    assert nodes.holders() == [other]
+    assert remaining_term(holder, DUTY, nodes.now) == 0.0
     assert fencing(other) > before
-    candidates.run(5.0, candidates.worlds)
-    assert candidates.holders() == [other]
+    nodes.run(5.0, nodes.worlds)
+    assert nodes.holders() == [other]
 
 
-def test_the_term_counts_from_before_the_record_was_sent(candidates):
+def test_the_term_counts_from_before_the_record_was_sent(nodes):
     # Guards against two holders if the answer to the append comes after most of the
     # term. Other nodes can have read the record early and count the term from then.
-    world = candidates.worlds[0]
-    candidates.now += 2.0
-    candidates.lease_requests(world)
-    candidates.now += 2.0
-    sent = candidates.lease_requests(world)
-    candidates.records.extend(sent)
-    candidates.now += TERM_S - 1.0
-    candidates.read(world)
-    assert 0.0 < remaining_term(world, DUTY, candidates.now) <= 1.0
-    candidates.now += 1.0
-    assert remaining_term(world, DUTY, candidates.now) == 0.0
-
-
-def test_a_lost_append_answer_gives_no_second_lease(candidates):
+    world = nodes.worlds[0]
+    nodes.now += 2.0
+    nodes.lease_requests(world)
+    nodes.now += 2.0
+    sent = nodes.lease_requests(world)
+    nodes.records.extend(sent)
+    nodes.now += TERM_S - 1.0
+    nodes.read(world)
+    assert 0.0 < remaining_term(world, DUTY, nodes.now) <= 1.0
+    nodes.now += 1.0
+    assert remaining_term(world, DUTY, nodes.now) == 0.0
+
+
+def test_a_lost_append_answer_gives_no_second_lease(nodes):
     # Guards against a second lease if the answer to the append is lost and the record
     # is appended twice under one id.
-    world = candidates.worlds[0]
-    candidates.now += 2.0
-    candidates.lease_requests(world)
-    candidates.now += 2.0
-    sent = candidates.lease_requests(world)
-    candidates.records.extend(sent + sent)
-    candidates.read(world)
+    world = nodes.worlds[0]
+    nodes.now += 2.0
+    nodes.lease_requests(world)
+    nodes.now += 2.0
+    sent = nodes.lease_requests(world)
+    nodes.records.extend(sent + sent)
+    nodes.read(world)
     first = next(
-        offset
-        for offset, value in enumerate(candidates.records)
-        if value.duty == DUTY.value
+        offset for offset, value in enumerate(nodes.records) if value.duty == DUTY.value
     )
     assert fencing(world) == first
 
 
-def test_a_lease_expires_without_the_log(candidates):
-    candidates.run(5.0, candidates.worlds)
-    (holder,) = candidates.holders()
-    candidates.now += TERM_S + 0.1
+def test_lease_expires_if_log_is_unreachable(nodes):
+    nodes.run(5.0, nodes.worlds)
+    (holder,) = nodes.holders()
+    nodes.now += TERM_S + 0.1
     assert (
-        candidates.lease_requests(holder) == []
-        or remaining_term(holder, DUTY, candidates.now) == 0.0
+        nodes.lease_requests(holder) == []
+        or remaining_term(holder, DUTY, nodes.now) == 0.0
     )
-    assert candidates.holders() == []
+    assert nodes.holders() == []
 
 
-def test_a_leaving_holder_releases_the_duty(candidates):
-    candidates.run(5.0, candidates.worlds)
-    (holder,) = candidates.holders()
-    other = next(w for w in candidates.worlds if w is not holder)
+def test_a_leaving_holder_releases_the_duty(nodes):
+    nodes.run(5.0, nodes.worlds)
+    (holder,) = nodes.holders()
+    other = next(w for w in nodes.worlds if w is not holder)
     holder.phase = NodePhase.DRAINING
-    candidates.run(4.0, candidates.worlds)
-    assert candidates.holders() == [other]
+    nodes.run(4.0, nodes.worlds)
+    assert nodes.holders() == [other]
 
 
-def test_a_record_that_replaces_an_old_lease_does_not_count(candidates):
-    candidates.run(20.0, candidates.worlds)
-    holder = candidates.holders()
+def test_lease_record_with_stale_predecessor_is_ignored(nodes):
+    nodes.run(20.0, nodes.worlds)
+    holder = nodes.holders()
     stale = LeaseRecord(
         id="stale",
         duty=DUTY.value,
@@ -191,7 +191,7 @@
         after=0,
         term_s=9.0,
     )
-    candidates.records.append(stale)
-    for world in candidates.worlds:
-        candidates.read(world)
-    assert candidates.holders() == holder
+    nodes.records.append(stale)
+    for world in nodes.worlds:
+        nodes.read(world)
+    assert nodes.holders() == holder
--- a/poplarrelay/systems/tests/test_safeguards.py
+++ b/poplarrelay/systems/tests/test_safeguards.py
@@ -565,7 +565,7 @@
     assert first.outcomes == again.outcomes
 
 
-def test_request_for_a_key_running_elsewhere_waits_for_its_outcome(system):
+def test_request_for_a_key_running_at_another_node_waits_for_its_outcome(system):
     # The second node reads the first node's claim and queries it until the key ends.
     first = system.submit("n1", "seat")
     system.tick_all()
--- a/poplarrelay/systems/ticketing.py
+++ b/poplarrelay/systems/ticketing.py
@@ -3,9 +3,10 @@
 Notes
 -----
 A ticket is run only by its owner: the incarnation that the ticket names, or its
-successor if it left in order. The owner stores every outcome until the ticket has
-expired by the owner's clock, and can therefore always tell whether the ticket ran. A
-crash loses these outcomes. Open tickets then end as "unknown", as claimed keys would.
+successor if the node left after a clean stop. The owner stores every outcome until the
+ticket has expired by the owner's clock, and can therefore always tell whether the
+ticket ran. A crash loses these outcomes. Open tickets then end as "unknown", as claimed
+keys would.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 from poplarrelay.tables.requests import Request, RequestState
 from poplarrelay.tables.world import World
 
-__all__ = ["follow_forwards", "resolve_ticket"]
+__all__ = ["process_forward_replies", "resolve_ticket"]
 
 #: Epochs that a ticket can be ahead of its owner's epoch, since gossip delays epochs.
 MAX_EPOCHS_AHEAD = 1
@@ -103,8 +104,8 @@
     else is certain about its arrival.
     """
     earliest = request.arrived
-    if request.home_clock is not None:
-        earliest = min(earliest, world.started_at + request.home_clock)
+    if request.owner_clock is not None:
+        earliest = min(earliest, world.started_at + request.owner_clock)
     return earliest < at
 
 
@@ -135,7 +136,7 @@
     )
 
 
-def follow_forwards(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
+def process_forward_replies(world: World, inbox: Inbox, now: float) -> Iterator[Effect]:
     """Handle the replies of owners to forwarded requests."""
     for answered in inbox.of(ForwardAnswered):
         request = world.requests.get(answered.request)
--- a/poplarrelay/tables/requests.py
+++ b/poplarrelay/tables/requests.py
@@ -48,11 +48,11 @@
     RECEIVED
         Admitted; it is not yet decided which node can run it.
     CLAIMING
-        Its claim is on the way to the log.
+        Its claim is in flight to the log.
     ASKING
         Another node holds the claim or ticket; the request to that node is in flight.
     VERIFYING
-        The log is unreachable; all peers have been asked whether they have the key.
+        The log is unreachable; all peers have been queried for the key.
     JOINED
         Another request with the same key is in progress at this node; this one waits
         for its outcome.
@@ -173,7 +173,7 @@
         Target for the time to the first token, in seconds.
     key : IdempotencyKey or None
         The caller's key; None if the work is repeatable or has no key.
-    home_clock : float or None
+    owner_clock : float or None
         For a forwarded request, the newest time of this node's clock that the sender
         had received, in seconds since this node's start.
     copies : int
@@ -199,7 +199,7 @@
     deadline: float
     first_token_s: float
     key: IdempotencyKey | None = None
-    home_clock: float | None = None
+    owner_clock: float | None = None
     deferred: bool = False
     copies: int = 0
     state: RequestState = RequestState.RECEIVED
--- a/poplarrelay/tables/world.py
+++ b/poplarrelay/tables/world.py
@@ -182,7 +182,7 @@
     key_executions : dict of TeamKey to KeyExecution
         Keys that this process can run, or has run.
     claiming : set of RequestId
-        Requests whose claim is on the way to the log.
+        Requests whose claim is in flight to the log.
     next_query_at : dict of RequestId to float
         Requests whose key is running at another node, with the monotonic time of the
         next query to that node.
--- a/poplarrelay/testing/fakes.py
+++ b/poplarrelay/testing/fakes.py
@@ -55,7 +55,7 @@
     KeyQueried,
 )
 from poplarrelay.messages.platform import LogFailed, RecordsRead
-from poplarrelay.messages.questions import CallId, LookupAsked, ShutdownAsked
+from poplarrelay.messages.questions import CallId, LookupRequested, ShutdownRequested
 from poplarrelay.messages.records import Record, RecordValue
 from poplarrelay.outcomes import NotRun, Outcome, ServiceAnswer
 from poplarrelay.systems.concluding import outcome_tag
@@ -390,7 +390,7 @@
         call = CallId(next(self._call_ids))
         token = hash_token(team_token(TEAM))
         team = TeamId(TEAM) if forwarded else None
-        node.inbox.append(LookupAsked(call, token, request, team, forwarded))
+        node.inbox.append(LookupRequested(call, token, request, team, forwarded))
         self.tick(name)
         return self._replies.pop(call)
 
@@ -443,7 +443,7 @@
 
     def leave(self, name: str, within_s: float) -> None:
         """Order a node to shut down within some seconds."""
-        self.nodes[name].inbox.append(ShutdownAsked(within_s))
+        self.nodes[name].inbox.append(ShutdownRequested(within_s))
 
     # -- effects -----------------------------------------------------------
 
@@ -602,7 +602,7 @@
                 forwarded=True,
                 team=TeamId(message.team),
                 age_s=message.age_s,
-                home_clock=message.home_clock,
+                owner_clock=message.home_clock,
             ),
         )
 
--- a/poplarrelay/web/tests/test_listener.py
+++ b/poplarrelay/web/tests/test_listener.py
@@ -9,7 +9,7 @@
 from poplarrelay.web.listener import Listener, ListenerLimits, stop_listeners
 
 
-class Hanging:
+class BlockingHandler:
     """Handler that answers when the test releases it."""
 
     def __init__(self):
@@ -35,7 +35,7 @@
     # sends a second stop signal. The server's stop method waits without a bound, so the
     # process ran until the requests ended or an operator killed it.
     limits = ListenerLimits(2, 10_000, 10_000)
-    roots = [Hanging(), Hanging()]
+    roots = [BlockingHandler(), BlockingHandler()]
     listeners = [Listener("127.0.0.1", 0, root, limits) for root in roots]
     for listener in listeners:
         listener.start()
