--- a/examples/choose_an_endpoint.py
+++ b/examples/choose_an_endpoint.py
@@ -38,7 +38,7 @@
 def main() -> None:
     """Print the chosen engine and its forecast time to the first token."""
     engines = [
-        engine("expensive-idle", 5.0, 0),
+        engine("dear-idle", 5.0, 0),
         engine("cheap-busy", 1.0, 1500),
         engine("cheap-late", 1.0, 9000),
     ]
