--- a/bench/entry_safeguards.py
+++ b/bench/entry_safeguards.py
@@ -396,7 +396,7 @@
     Safeguard(
         "requests from before a freeze confirm nothing",
         f"{ENTRY}/list_freshness.py",
-        " or at < self.trusted_from:",
+        " or at < self.confirmations_valid_from:",
         ":",
         "test_freshness.py",
     ),
@@ -410,7 +410,7 @@
     Safeguard(
         "the first reads time out within the age bound",
         f"{ENTRY}/endpoint_reader.py",
-        "        first_s = self._freshness.times.answer_s\n",
+        "        first_s = self._freshness.times.read_timeout_s\n",
         "        first_s = ANSWER_TIMEOUT_S\n",
         "test_departures.py",
     ),
@@ -579,7 +579,7 @@
     Safeguard(
         "nodes that know nobody are told whom to ask",
         f"{ENTRY}/gossip.py",
-        "            self._introduce(rows[0], now)\n",
+        "            self._send_summaries_to_new_node(rows[0], now)\n",
         "            pass\n",
         "test_cells.py",
     ),
--- a/poplarrelay/entry/__main__.py
+++ b/poplarrelay/entry/__main__.py
@@ -20,9 +20,10 @@
     Notes
     -----
     The arguments that operators' platforms use are read without the argument parser.
-    The parser would take a seventh of the loading time (0.11 s of a busy core, beside
-    0.64 s for all other modules), and callers wait for it after a power failure. All
-    other arguments go to the parser, which reports what is wrong with them.
+    The parser would take a seventh of the loading time (0.11 s of a busy core, compared
+    with 0.64 s for all other modules), and callers wait for the nodes to start after a
+    power failure. All other arguments go to the parser, which reports what is wrong
+    with them.
     """
     if len(sys.argv) == 3 and sys.argv[1] == "--settings":
         entry(settings=Path(sys.argv[2]))
--- a/poplarrelay/entry/admission.py
+++ b/poplarrelay/entry/admission.py
@@ -52,9 +52,10 @@
     -----
     This limits the queues when callers send more work than the engines can process,
     for example after the loss of most engines. An engine accepts many more prompts
-    than it can start in time. All of them are late then, also those whose callers no
-    longer wait. If prompts whose first event would be late are refused, the other
-    prompts are in time, and the refused callers learn at once when to retry.
+    than it can start in time. Then all these prompts are late, including those whose
+    callers have stopped waiting. If prompts whose first event would be late are
+    refused, the other prompts are in time, and the refused callers are told immediately
+    when to retry.
     """
     return forecast.queue_s <= forecast.max_queue_s
 
--- a/poplarrelay/entry/attempts.py
+++ b/poplarrelay/entry/attempts.py
@@ -60,8 +60,8 @@
         Whether the caller's credentials are forwarded, because the endpoint checks them
         itself.
     silence_timeout_s : float or None
-        Seconds without data after which the attempt fails. None means no such limit:
-        if no further attempt is allowed, an early end gains nothing.
+        Seconds without data after which the attempt fails. None means no limit: if
+        no further attempt is allowed, ending this one early has no benefit.
     """
 
     endpoint: Endpoint
--- a/poplarrelay/entry/backlog_client.py
+++ b/poplarrelay/entry/backlog_client.py
@@ -80,9 +80,9 @@
     An engine prefills one prompt after the other, and a long prompt delays all others
     by up to a second. Gossip is sent every half second, so nodes that rely on it would
     send prompts to an engine that is busy with another node's prompt. The coordinator
-    of an engine learns of all its prompts immediately. A request causes one message to
-    each of a few coordinators and two messages to one of them, independent of the
-    number of nodes.
+    of an engine receives a report of each of its prompts immediately. A request
+    causes one message to each of a few coordinators and two messages to one of them,
+    independent of the number of nodes.
     """
 
     own_host: str
--- a/poplarrelay/entry/backlogs.py
+++ b/poplarrelay/entry/backlogs.py
@@ -30,7 +30,7 @@
 #: the batch then determine the time to a first event more than the engine's speed.
 MIN_SAMPLE_TOKENS = 1_000
 #: Range of plausible speeds, in tokens per second. Samples outside it come from a clock
-#: that stood still or from a prompt that was cached although it counted as uncached.
+#: that stopped or from a prompt that was cached although it counted as uncached.
 MIN_SPEED, MAX_SPEED = 500.0, 2_000_000.0
 #: Seconds after which a prompt is removed from the queue if its node has not reported
 #: its end. Callers of streams stop waiting sooner than that.
--- a/poplarrelay/entry/cells.py
+++ b/poplarrelay/entry/cells.py
@@ -35,13 +35,13 @@
 ]
 
 #: Largest average number of nodes in a cell. With three datagrams a round, up to about
-#: 40 rows and summaries reach all nodes within a second. A value of 26 keeps to this
-#: limit with up to 410 nodes, and two dozen nodes form one cell.
+#: 40 rows and summaries reach all nodes within a second. A value of 26 stays within
+#: this limit with up to 410 nodes, and two dozen nodes form one cell.
 MAX_AVERAGE_CELL_SIZE = 26
 #: Share of that size below which cells are merged. The gap between both bounds keeps
 #: nodes that start and stop near a bound from regrouping all nodes each time.
 MERGE_SHARE = 0.6
-#: Most bits of a node's hash that select its cell: 4,096 cells.
+#: Maximum number of bits of a node's hash that select its cell: 4,096 cells.
 MAX_CELL_BITS = 12
 
 
--- a/poplarrelay/entry/choosing.py
+++ b/poplarrelay/entry/choosing.py
@@ -170,10 +170,11 @@
     Notes
     -----
     An engine processes long and short prompts one after the other. A prompt that is
-    sent to the engine with the fewest tokens to process is late by its own length at
-    most. If no engine is known to have the shared part cached, its first affinity
-    endpoint counts as having it. The prompt is then processed there, and later
-    prompts find the part in its cache.
+    sent to the engine with the fewest tokens to process is delayed, compared with an
+    even distribution of all tokens, by at most the time of its own prefill. If no
+    engine is known to have the shared part cached, its first affinity endpoint counts
+    as having it. The prompt is then processed there, and later prompts find the part
+    in its cache.
 
     When many requests share a part, their load outweighs the prefill that the cache
     of the affinity endpoint saves. The next prompt is then sent to another engine,
@@ -248,9 +249,9 @@
 
     Notes
     -----
-    An endpoint that has failed recently is used only if no other one is free. To
-    avoid a healthy endpoint by mistake only adds load to the others; to use a broken
-    one by mistake costs the request.
+    An endpoint that has failed recently is used only if no other one is free. If a
+    healthy endpoint is avoided by mistake, the others only get more load. If a broken
+    one is used by mistake, the request fails.
     """
     if criteria.is_prompt:
         candidates = sample_candidates(rows, criteria, now, rng)
--- a/poplarrelay/entry/crashes.py
+++ b/poplarrelay/entry/crashes.py
@@ -35,9 +35,9 @@
 #: Requests per team for which crashes are kept, and for which answers are kept.
 MAX_RECORDS = 512
 MAX_ANSWERS = 512
-#: Crashes in one record at most; later ones replace earlier ones.
+#: Maximum number of crashes in one record; later ones replace earlier ones.
 MAX_RUNS = 8
-#: Records in one datagram at most.
+#: Maximum number of records in one datagram.
 MAX_RECORDS_SENT = 40
 #: Number of datagrams in which a change is sent, because some datagrams are lost.
 SENDS_PER_CHANGE = 3
--- a/poplarrelay/entry/demand.py
+++ b/poplarrelay/entry/demand.py
@@ -17,8 +17,8 @@
 #: count most. One node gets that number within a few seconds.
 UNCACHED_WEIGHT = 0.02
 #: Share of the teams' quotas that is expected to be used before any request arrives.
-#: Quotas are the most that operators permit; in steady use, a little more than half of
-#: them is used.
+#: Quotas are the maximum that operators permit; in steady use, a little more than half
+#: of them is used.
 QUOTA_SHARE = 0.5
 
 
@@ -53,7 +53,7 @@
     earlier, and it does not grow when answers become slow.
 
     Only the uncached tokens of prompts count. Their number is known only when a prompt
-    is sent to an engine, so each admitted prompt counts with the moving share, also if
+    is sent to an engine, so each admitted prompt counts with the moving share, even if
     it is refused later.
     """
 
--- a/poplarrelay/entry/duty_lease.py
+++ b/poplarrelay/entry/duty_lease.py
@@ -76,11 +76,11 @@
     ttl_s : float
         Seconds after a renewal at which the store can give the duty to another node.
     wait_s : float
-        Least number of seconds between this node's last action in an earlier lease
-        term and its first action in a new one. Without it, when a duty moves to
-        another node and back at once, both nodes could act within the time in which
-        the platform allows only one change of holder. A node that has not acted
-        recently does not wait.
+        Minimum seconds between this node's last action in an earlier lease term and its
+        first action in a new one. Without it, when a duty moves to another node and
+        immediately back, both nodes could act within the time in which the platform
+        allows only one change of holder. A node that has not acted recently does not
+        wait.
     generation : int
         Generation of the group in the last answer of the store.
     token : int
--- a/poplarrelay/entry/duty_worker.py
+++ b/poplarrelay/entry/duty_worker.py
@@ -173,7 +173,7 @@
             )
 
     async def retire(self) -> None:
-        """Leave the duty group for good, so that another node gets the duties."""
+        """Leave the duty group permanently, so that another node gets the duties."""
         self._retired = True
         await self._leave()
 
@@ -233,7 +233,7 @@
     # usage
 
     async def _prepare_ledger(self) -> None:
-        """Fence earlier holders off from the ledger, then read their records.
+        """Prevent appends of earlier holders to the ledger (fencing), then read it.
 
         Notes
         -----
@@ -294,7 +294,8 @@
 
         Notes
         -----
-        The store can execute an append, at once or later, even if its response is lost.
+        The store can execute an append, immediately or later, even if its response is
+        lost.
         Until an append is answered, this node must repeat the same record with the same
         sequence number. If it sent newer counts or the next window instead, the store
         would keep the first record and repeat its first response. The next holder would
--- a/poplarrelay/entry/endpoint_list.py
+++ b/poplarrelay/entry/endpoint_list.py
@@ -97,7 +97,7 @@
     records are written again at every heartbeat. It leaves out endpoints whose records
     lapsed in an outage, since the store does not list them.
     """
-    facts = sorted(
+    compared_fields = sorted(
         (
             row.endpoint,
             row.service,
@@ -109,7 +109,7 @@
         for row in rows
         if row.suspended_until is None
     )
-    return hashlib.blake2b(repr(facts).encode(), digest_size=8).hexdigest()
+    return hashlib.blake2b(repr(compared_fields).encode(), digest_size=8).hexdigest()
 
 
 class EndpointList:
@@ -124,7 +124,7 @@
     on_change : callable
         Called after endpoints have changed.
     on_departure : callable
-        Called with each endpoint that leaves, to announce it to peers at once.
+        Called with each endpoint that leaves, to announce it to peers immediately.
     on_run_ended : callable
         Called with the row of each run that has ended, to close its idle connections.
     clock : callable
@@ -155,7 +155,7 @@
         self._clock = clock
         self._known: dict[EndpointId, _KnownRecord] = {}
         #: Some changes before this offset can be missing from `_known`.
-        self._floor = Offset(0)
+        self._complete_from = Offset(0)
         self.digest = digest_of(())
 
     # queries
@@ -171,7 +171,7 @@
 
     def since(self, offset: Offset) -> list[EndpointChange] | None:
         """Return all changes from an offset on, None if some can be missing."""
-        if offset < self._floor:
+        if offset < self._complete_from:
             return None
         changes = [
             EndpointChange(endpoint, known.change_offset, known.content, known.lapsed)
@@ -212,7 +212,7 @@
         self._state.endpoints_known = True
         # Removals before this offset that this node has not received are unknown: the
         # store does not list removed records.
-        self._floor = max(self._floor, as_of)
+        self._complete_from = max(self._complete_from, as_of)
         self._finish_update()
 
     def apply_records(self, records: list[KeyedRecord]) -> None:
@@ -275,7 +275,7 @@
             self._apply(change, f"told by {peer}", now)
             listed.add(change.endpoint)
         self._remove_missing(listed, as_of, f"not in the list of {peer}")
-        self._floor = max(self._floor, as_of)
+        self._complete_from = max(self._complete_from, as_of)
         self._finish_update()
 
     # applying one change
@@ -424,7 +424,7 @@
         ]
         for endpoint in old:
             change_offset = self._known.pop(endpoint).change_offset
-            self._floor = max(self._floor, Offset(change_offset + 1))
+            self._complete_from = max(self._complete_from, Offset(change_offset + 1))
 
     def resync(self) -> None:
         """Reset all offsets after the store has restarted its count.
@@ -435,7 +435,7 @@
         """
         for known in self._known.values():
             known.offset = known.change_offset = Offset(-1)
-        self._floor = Offset(0)
+        self._complete_from = Offset(0)
         self._state.freshness.known_offset = Offset(0)
         self._state.freshness.invalidate()
 
@@ -449,8 +449,8 @@
 
     Notes
     -----
-    For the same removal, a node that read it while the store was available overrules a
-    node that took it for an effect of an outage.
+    For the same removal, the change from a node that read it while the store was
+    available replaces the change from a node that attributed it to an outage.
     """
     if change.offset != known.offset:
         return change.offset > known.offset
--- a/poplarrelay/entry/endpoint_reader.py
+++ b/poplarrelay/entry/endpoint_reader.py
@@ -100,7 +100,7 @@
         reads fail, the store is slow or unavailable; a longer timeout gets replies from
         a slow store.
         """
-        first_s = self._freshness.times.answer_s
+        first_s = self._freshness.times.read_timeout_s
         return min(ANSWER_TIMEOUT_S, first_s * 2 ** min(6, max(0, self._failures - 1)))
 
     def _pause_s(self) -> float:
--- a/poplarrelay/entry/endpoints.py
+++ b/poplarrelay/entry/endpoints.py
@@ -47,12 +47,12 @@
     gone : bool
         Whether its record was removed; requests in progress can still finish.
     reclaimable : bool
-        Whether the platform can take the endpoint away on short notice.
+        Whether the platform can reclaim the endpoint at short notice.
     leaves_at : float or None
         Monotonic time at which the endpoint will be gone, if its record states one.
     slot_share : int
-        Most requests that this node runs at the endpoint at once. It depends on the
-        number of nodes.
+        Maximum number of requests that this node runs at the endpoint at the same time.
+        It depends on the number of nodes.
     running : int
         Requests of this node that are running at the endpoint.
     running_at_other_nodes : int
--- a/poplarrelay/entry/gossip.py
+++ b/poplarrelay/entry/gossip.py
@@ -117,7 +117,8 @@
         self.sent_bytes = 0
         self.received_bytes = 0
         self.sent_datagrams = 0
-        #: Whether the next round should run at once, to send a change to other cells.
+        #: Whether the next round should run immediately, to send a change to other
+        #: cells.
         self.urgent = False
 
     def attach_list_exchange(
@@ -225,16 +226,17 @@
                 self._encode([encode_row(table.me)], self._announcement(), []), [host]
             )
         if raw_rows and not table.in_cell(raw_rows[0][0]):
-            self._introduce(decode_row(raw_rows[0]), now)
+            self._send_summaries_to_new_node(decode_row(raw_rows[0]), now)
 
-    def _introduce(self, row: PeerRow, now: float) -> None:
+    def _send_summaries_to_new_node(self, row: PeerRow, now: float) -> None:
         """Send summaries to a node of another cell that seems to have no peers.
 
         Notes
         -----
         A node that starts, or was partitioned, sends its row to seeds. All seeds can
         be in other cells, which do not store the row. Without these summaries the node
-        would name only itself to callers until it finds its cell by chance.
+        would return only its own address to callers until a random datagram reaches its
+        cell.
         """
         if self._table.in_fresh_summary(row.node, now):
             return
--- a/poplarrelay/entry/health.py
+++ b/poplarrelay/entry/health.py
@@ -14,7 +14,7 @@
 ANSWER_TIME_WEIGHT = 0.15
 #: Failure rate above which an endpoint is avoided, if the other endpoints of its
 #: service fail less than half as often. Some services answer one request in seven with
-#: an error of their own, which is no reason to avoid all of their endpoints.
+#: an error at every endpoint, which is no reason to avoid all of their endpoints.
 FAILURE_RATE_LIMIT = 0.3
 #: Consecutive failures after which an endpoint is avoided even below that rate, if the
 #: other endpoints fail less than half as often.
@@ -76,12 +76,14 @@
     health.failure_rate += FAILURE_RATE_WEIGHT * (1 - health.failure_rate)
     other_rates = [peer.health.failure_rate for peer in peers if peer is not row]
     mean_other_rate = sum(other_rates) / len(other_rates) if other_rates else 0.0
-    stands_out = health.failure_rate > max(FAILURE_RATE_LIMIT, 2 * mean_other_rate)
+    exceeds_failure_rate = health.failure_rate > max(
+        FAILURE_RATE_LIMIT, 2 * mean_other_rate
+    )
     in_row = (
         health.failures_in_row >= CONSECUTIVE_FAILURE_LIMIT
         and health.failure_rate > 2 * mean_other_rate
     )
-    if not (certain or stands_out or in_row):
+    if not (certain or exceeds_failure_rate or in_row):
         return False
     further_failures = max(0, health.failures_in_row - CONSECUTIVE_FAILURE_LIMIT)
     avoidance_s = min(
--- a/poplarrelay/entry/host_directory.py
+++ b/poplarrelay/entry/host_directory.py
@@ -1,4 +1,4 @@
-"""Directory of node hosts in the platform's store, used besides the seeds."""
+"""Directory of node hosts in the platform's store, used in addition to the seeds."""
 
 from __future__ import annotations
 
@@ -22,11 +22,13 @@
 #: Seconds between reads while few of the listed nodes are known to be alive, for
 #: example after a start or during a network partition.
 INCOMPLETE_INTERVAL_S = 4.0
-#: Share of the listed nodes below which few are alive. Some listed nodes no longer
+#: If fewer than this share of the listed nodes are alive, the list is read every
+#: `INCOMPLETE_INTERVAL_S`. The share is below 1 because some listed nodes no longer
 #: exist: if all had to be alive, all nodes would read the list every four seconds.
 MIN_ALIVE_SHARE = 0.5
-#: Seconds between reads otherwise: at least the first value, and at least the second
-#: value for each listed node. All nodes together then read at most four lists a second.
+#: Seconds between reads otherwise: the larger of the first value and the second value
+#: times the number of listed nodes. All nodes together then read at most four lists a
+#: second.
 COMPLETE_INTERVAL_S = 60.0
 INTERVAL_PER_NODE_S = 0.25
 
@@ -46,7 +48,7 @@
     The seed hosts in the settings can be stale, down, or on the other side of a network
     partition. Nodes that know only seeds could form groups that never discover each
     other. To prevent this, each node writes one record when it starts and reads all
-    records about once in `COMPLETE_INTERVAL_S`.
+    records about every `COMPLETE_INTERVAL_S` seconds.
     """
 
     def __init__(self, state: EntryState, store: Store) -> None:
--- a/poplarrelay/entry/http/connection.py
+++ b/poplarrelay/entry/http/connection.py
@@ -22,8 +22,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-#: Parsed body bytes that nothing has taken yet at which reading from the socket pauses,
-#: so that a slow consumer slows the sender down instead of filling memory.
+#: Number of unread body bytes at which reading from the socket pauses, so that a slow
+#: consumer slows the sender down instead of filling memory.
 PAUSE_AT_BYTES = 262_144
 #: Largest size of a response's head in bytes.
 MAX_HEAD_BYTES = 65_536
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    used : int
+    request_count : int
         Number of requests sent on it.
     """
 
@@ -91,7 +91,7 @@
         self._sent = False
         self._reading_paused = False
         self._idle_until = 0.0
-        self.used = 0
+        self.request_count = 0
 
     @classmethod
     async def open(cls, host: str, port: int, timeout_s: float) -> Connection:
@@ -122,13 +122,13 @@
         """Parse the received bytes."""
         if not self._busy:
             # Without a request in progress, bytes such as a second answer to the last
-            # request would be taken for the answer to the next one.
+            # request would be mistaken for the answer to the next one.
             self._fail("received bytes without a request in progress")
             return
         self._parse(data)
 
     def eof_received(self) -> bool:
-        """Handle the end of the server's bytes, which can be the end of a body."""
+        """Handle end-of-file, which ends a body without a stated length."""
         self._closed = self._failure is None
         if self._busy:
             self._parse(b"")
@@ -219,7 +219,7 @@
         parts.append(self._http.send(h11.EndOfMessage()) or b"")
         self._busy = True
         self._sent = True
-        self.used += 1
+        self.request_count += 1
         self._transport.write(b"".join(parts))
 
     async def response_head(self) -> ResponseHead:
@@ -270,13 +270,13 @@
 
     # after the response
 
-    def recycle(self, head_headers: Headers, now: float) -> bool:
+    def prepare_reuse(self, response_headers: Headers, now: float) -> bool:
         """Prepare the connection for another request; return whether that is possible.
 
         Notes
         -----
         The connection is aborted if bytes follow the complete response, as they belong
-        to no request. It is aborted also if bytes of the request are still unsent: the
+        to no request. It is also aborted if bytes of the request are still unsent: the
         next request would be appended to them.
         """
         if self._failure is not None or self._transport is None:
@@ -293,7 +293,7 @@
         self._http.start_next_cycle()
         self._busy = False
         self._sent = False
-        self._idle_until = now + _idle_s(head_headers)
+        self._idle_until = now + _idle_s(response_headers)
         return True
 
     def usable(self, now: float) -> bool:
--- a/poplarrelay/entry/http/listener.py
+++ b/poplarrelay/entry/http/listener.py
@@ -252,8 +252,9 @@
             return
         length = header_value(headers, b"content-length")
         if length is not None and header_value(headers, b"transfer-encoding"):
-            # The two headers can disagree about the body's length. Then one of two
-            # readers takes a part of the body for the next request (request smuggling).
+            # The two headers can state different lengths of the body. Then two servers
+            # can disagree, and one parses part of the body as the next request (request
+            # smuggling).
             self._reject(HTTPStatus.BAD_REQUEST, "two statements of the body's length")
             return
         if length is not None and int(length) > self._limits.max_body_bytes:
@@ -443,7 +444,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port, also if the system chose it because port 0 was given."""
+        """Return the port, even if the system chose it because port 0 was given."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
--- a/poplarrelay/entry/http/pool.py
+++ b/poplarrelay/entry/http/pool.py
@@ -67,7 +67,7 @@
         self, address: Address, connection: Connection, headers: Headers
     ) -> None:
         """Keep a connection after a complete response if it can be reused."""
-        if not connection.recycle(headers, monotonic()):
+        if not connection.prepare_reuse(headers, monotonic()):
             return
         idle = self._idle.setdefault(address, [])
         idle.append(connection)
--- a/poplarrelay/entry/http/sockets.py
+++ b/poplarrelay/entry/http/sockets.py
@@ -21,7 +21,7 @@
     Notes
     -----
     A peer that is without power or partitioned sends no reset: writes succeed, and
-    reads wait for ever. Keep-alive probes detect this on an idle connection within
+    reads wait forever. Keep-alive probes detect this on an idle connection within
     three seconds. The timeout of unacknowledged bytes detects it on a busy connection
     within two seconds.
     """
--- a/poplarrelay/entry/list_exchange.py
+++ b/poplarrelay/entry/list_exchange.py
@@ -22,17 +22,18 @@
 
 _LOG = logging.getLogger("poplarrelay.entry.exchange")
 
-#: Peers that get an announcement in one step. With three, a change is known to 4, 16
+#: Peers that get an announcement in one step. With three, a change has reached 4, 16
 #: and 64 nodes after one, two and three steps.
 FANOUT = 3
-#: Seconds for which changes are collected before such a step, so that a wave of
-#: departures sends no more datagrams than a single one. With 5 ms, eight nodes read the
-#: store 1.9 times a second; with 20 ms 3.0 times, as more nodes read it on their own
-#: before an announcement arrived.
-TELL_S = 0.005
-#: Minimum gain in seconds of the time at which the list was confirmed. A node sends an
-#: extra announcement if its list gained this much since the last one. It sends a
-#: request if the list of a peer is this much ahead of its own.
+#: Seconds for which changes are collected before such a step, so that many
+#: simultaneous departures send no more datagrams than a single one. With 5 ms,
+#: eight nodes read the store 1.9 times a second; with 20 ms 3.0 times, as more nodes
+#: read it on their own before an announcement arrived.
+EXCHANGE_DELAY_S = 0.005
+#: Minimum difference in seconds between the confirmation times of two lists. A node
+#: sends an extra announcement if its list was confirmed at least this much later than
+#: the last announced one. It sends a request if the list of a peer was confirmed at
+#: least this much later than its own.
 MIN_FRESHNESS_GAIN_S = 0.3
 #: Peers that get a notice when this node starts to read the store.
 READ_NOTICE_FANOUT = 32
@@ -45,7 +46,7 @@
 #: share of the latest age at which it reads the store. At that age, reads have failed.
 REQUEST_AGE_SHARE = 1.0
 #: Seconds between such requests, and peers that get each one. Even if a third of the
-#: peers know nothing new, the requests sent within half a second very probably reach a
+#: peers have nothing new, the requests sent within half a second very probably reach a
 #: peer that does.
 REQUEST_INTERVAL_S = 0.15
 REQUEST_FANOUT = 2
@@ -58,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListAnnouncement:
-    """Unrequested message about the sender's list, with an unknown time in flight.
+    """Unsolicited message about the sender's list, with an unknown time in flight.
 
     Attributes
     ----------
     known_offset : Offset
-        The sender knows every record before this offset.
+        The sender has every record before this offset.
     age_s : float
         Age in seconds of the sender's list when the message was sent.
     changes : tuple of EndpointChange
@@ -94,7 +95,7 @@
     number : int
         Number of the request, unique at its sender.
     since : Offset
-        The sender knows every record before this offset.
+        The sender has every record before this offset.
     """
 
     number: int
@@ -123,7 +124,7 @@
         The reply contains every change before this offset.
     age_s : float or None
         Age in seconds of the sender's list when the reply was sent; None if the reply
-        does not contain all changes that the sender knows.
+        does not contain all changes that the sender has.
     digest : str
         Digest of the sender's list if the list ends exactly at `known_offset`, else
         empty.
@@ -213,16 +214,17 @@
     resync : callable
         Makes this node read the complete list from the store.
     schedule_tick : callable
-        Schedules a call of `tick` within `TELL_S`.
+        Schedules a call of `tick` within `EXCHANGE_DELAY_S`.
 
     Notes
     -----
     An announcement carries departures. Their offsets order them, so they stay valid
-    even if they arrive late. An announcement also shows whether the sender has a
-    fresher list. Only the reply to a request confirms this node's list, for the time at
-    which the request was sent. The time in flight can make the list look older than it
-    is, but never younger. So a list that nodes confirm to each other in a circle never
-    looks too fresh, and one read of the store keeps the lists of all nodes fresh.
+    even if they arrive late. An announcement also shows whether the sender has a more
+    recently confirmed list. Only the reply to a request confirms this node's list, for
+    the time at which the request was sent. The time in flight can make the list look
+    older than it is, but never younger. So a list that nodes confirm to each other in a
+    circle never looks too young, and one read of the store keeps the lists of all nodes
+    up to date.
 
     A peer gets requests mainly from the nodes to which it sent an announcement, three
     at a time, and replies with the changes that they lack. When all nodes requested the
@@ -254,7 +256,7 @@
         self.schedule_tick()
 
     def note_confirmed(self) -> None:
-        """Schedule an announcement if the list is fresher than last announced."""
+        """Schedule an announcement if the last one is `MIN_FRESHNESS_GAIN_S` behind."""
         if (
             self.freshness.confirmed_at - self._announced_confirmed_at
             >= MIN_FRESHNESS_GAIN_S
@@ -307,7 +309,7 @@
         gain_s = self.freshness.confirmed_at - self._announced_confirmed_at
         if (
             self._immediate_steps_left or gain_s >= MIN_FRESHNESS_GAIN_S
-        ) and now - self._announced_at >= TELL_S:
+        ) and now - self._announced_at >= EXCHANGE_DELAY_S:
             self._announce(now)
         age_s = self.freshness.age_s(now)
         stale = age_s > REQUEST_AGE_SHARE * self.freshness.times.latest_read_s
@@ -352,11 +354,14 @@
     def receive_announcement(
         self, host: str, announcement: ListAnnouncement, now: float
     ) -> None:
-        """Apply the departures in an announcement; send a request if it is fresher."""
+        """Apply the departures; send a request if the peer's list is more recent."""
         if announcement.changes:
             self.endpoints.apply_changes(announcement.changes, host)
         gain_s = (now - announcement.age_s) - self.freshness.confirmed_at
-        if gain_s >= MIN_FRESHNESS_GAIN_S and now - self._last_request_at >= TELL_S:
+        if (
+            gain_s >= MIN_FRESHNESS_GAIN_S
+            and now - self._last_request_at >= EXCHANGE_DELAY_S
+        ):
             self._send_request([host], now)
 
     def receive_changes_request(
@@ -407,7 +412,7 @@
         self._compare_digests(host, reply)
 
     def _compare_digests(self, host: str, reply: ChangesReply) -> None:
-        """Resync if a peer that knows the same records has a different list."""
+        """Resync if a peer that has the same records has a different list."""
         if not reply.digest or reply.known_offset != self.freshness.known_offset:
             return
         own_digest = self._exact_digest()
--- a/poplarrelay/entry/list_freshness.py
+++ b/poplarrelay/entry/list_freshness.py
@@ -11,40 +11,42 @@
 
 __all__ = ["MAX_REPORTED_AGE_S", "ListFreshness", "ListTimes", "draw_read_age"]
 
-#: The shares below divide the bound, the time after which a leaving endpoint gets no
-#: new requests. In the longest case they add up to less than one: a list that no peer
-#: confirms is read at half of the bound at the latest, the first read times out, and
-#: the second read is answered just in time. The rest is for sending a request.
+#: The shares below are fractions of the bound, the time after which a leaving endpoint
+#: gets no new requests. In the worst case they add up to less than one: a list that no
+#: peer confirms is read at half of the bound at the latest, the first read times out,
+#: and the second read is answered just in time. The rest is for sending a request.
 #:
-#: Each node draws a new age at random for each read of the store. So one node reads
-#: first, and its announcement reaches the others before they read as well. This also
-#: holds if the store takes the full timeout of a read to answer.
+#: Each node reads the store when its list reaches a random age, drawn again after each
+#: confirmation. Usually one node reads first and its announcement reaches the others
+#: before they read, even if the read takes its full timeout.
 EARLIEST_READ_SHARE = 0.25
 LATEST_READ_SHARE = 0.5
-#: Timeout of a read. A slow store answers in about 0.25 s; the smallest bound in use,
-#: 2 s, gives a timeout of 0.4 s.
-ANSWER_SHARE = 0.2
+#: Timeout of a read. With a bound of 2 s, the smallest in use, the timeout is 0.4 s,
+#: more than a slow store's 0.25 s.
+READ_TIMEOUT_SHARE = 0.2
 #: Pause between a read that timed out and the next one.
 PAUSE_SHARE = 0.02
 #: Shortest and longest wait for a peer's read and its announcement, as multiples of the
 #: read timeout. The wait is random: if the peer's read times out, the nodes that wait
 #: for it must not all read at the same time.
 PEER_WAIT_FACTORS = (1.0, 1.25)
-#: Average number of nodes that draw from the complete range of read ages, and the share
-#: of the range, at its end, that the other nodes draw from.
+#: Average number of nodes that draw from the complete range of read ages.
 EARLY_READERS = 12
+#: Share of that range, at its end, from which the other nodes draw.
 LATE_READERS_SHARE = 0.2
 #: Share for sending a request. Connecting within one zone takes some milliseconds; if
 #: the first packet is lost, the request goes to another endpoint.
 SENDING_SHARE = 0.07
 #: Age of the list, in heartbeat intervals of endpoints, that indicates an outage of the
-#: store. A record expires after three intervals without a heartbeat, so at the earliest
-#: two intervals into an outage; half an interval allows for a late heartbeat.
+#: store. A record expires three intervals after its last heartbeat. This heartbeat can
+#: precede the outage by one interval, so records expire from two intervals into an
+#: outage. Half an interval is subtracted because heartbeats can be late.
 OUTAGE_HEARTBEATS = 1.5
-#: Seconds after an outage during which reports of expired records are accepted. All
-#: nodes read the store within two seconds of its return and announce changes within
-#: tenths of a second.
-STEADY_S = 4.0
+#: Seconds after an outage for which `no_recent_outage` stays False. Until then, a
+#: peer's report that a record expired because of the outage is accepted; later it
+#: counts as a removal. All nodes read the store within two seconds of its return and
+#: announce changes within tenths of a second.
+OUTAGE_REPORT_S = 4.0
 #: Minimum seconds between two reads of a node whose peers have more changes than they
 #: can send. Without it, each node would read the store for every change while endpoints
 #: start and stop continuously.
@@ -65,20 +67,22 @@
         store's acknowledgement of its departure.
     earliest_read_s, latest_read_s : float
         Range of the list age at which this node reads the store.
-    answer_s : float
-        Timeout of the first read and of its first repetition.
+    read_timeout_s : float
+        Timeout of a read and of its first retry.
     pause_s : float
         Pause after a read that timed out.
     max_list_age_s : float
-        Age up to which a request sent by the list still keeps the bound.
+        Largest list age at which a new request still reaches its endpoint within the
+        bound.
     outage_s : float
-        Age from which an outage of the store can have let records expire.
+        List age above which records may have expired only because the store was
+        unavailable.
     """
 
     bound_s: float
     earliest_read_s: float
     latest_read_s: float
-    answer_s: float
+    read_timeout_s: float
     pause_s: float
     max_list_age_s: float
     outage_s: float
@@ -91,7 +95,7 @@
             bound_s=bound_s,
             earliest_read_s=EARLIEST_READ_SHARE * bound_s,
             latest_read_s=LATEST_READ_SHARE * bound_s,
-            answer_s=ANSWER_SHARE * bound_s,
+            read_timeout_s=READ_TIMEOUT_SHARE * bound_s,
             pause_s=PAUSE_SHARE * bound_s,
             max_list_age_s=(1 - SENDING_SHARE) * bound_s,
             outage_s=OUTAGE_HEARTBEATS * bounds.endpoint_heartbeat_ms / 1000,
@@ -129,7 +133,7 @@
     Attributes
     ----------
     known_offset : Offset
-        This node knows every record of the endpoint topic before this offset.
+        This node has every record of the endpoint topic before this offset.
     confirmed_at : float
         Monotonic time of this node at which the topic had no further records.
     source : str
@@ -137,7 +141,8 @@
     read_at : float
         Monotonic time at which this node sent its last successful read of the store.
     behind : bool
-        Whether a peer has more changes than it can send in a datagram.
+        Whether this node must read the store soon, because a peer has more changes than
+        fit in a datagram or no longer has the oldest ones, or because of a resync.
     read_after_s : float
         Age of the list at which this node reads the store itself.
     nodes : int
@@ -145,9 +150,10 @@
     peer_read_expected_until : float
         Monotonic time until which this node waits for a peer's read in progress.
     available_since : float
-        Monotonic time since which the age of the list has never indicated an outage.
-    trusted_from : float
-        Monotonic time; confirmations for an earlier time are ignored.
+        Monotonic time of the first confirmation after the last outage that the age of
+        the list indicated. An invalidated list counts as an outage.
+    confirmations_valid_from : float
+        Monotonic time; confirmations of an earlier time are ignored.
     on_confirm : callable or None
         Called when the list is confirmed for a later time than before.
 
@@ -155,10 +161,11 @@
     -----
     `confirmed_at` is the time at which this node *sent* the request, less the age that
     the reply states. The store or peer always replied later than that, so a delay in
-    flight cannot make the list look younger than it is. When the age was counted back
-    from the arrival of a message, it left out the wait in a busy link or process: nodes
-    then used lists that were seconds old, and sent requests to endpoints that had left.
-    No step makes a list look younger, so any number of nodes can pass it on.
+    flight cannot make the list look younger than it is. An age counted from the arrival
+    of a message would omit the time that the message waited in a link or process, and
+    the list would look too young: nodes used lists that were seconds old, and sent
+    requests to endpoints that had left. Forwarding never understates the age, so a
+    confirmation can pass through any number of nodes.
     """
 
     rng: Random
@@ -172,7 +179,7 @@
     nodes: int = 1
     peer_read_expected_until: float = float("-inf")
     available_since: float = float("inf")
-    trusted_from: float = float("-inf")
+    confirmations_valid_from: float = float("-inf")
     on_confirm: Callable[[], None] | None = None
 
     def age_s(self, now: float) -> float:
@@ -186,7 +193,7 @@
     def no_recent_outage(self, now: float) -> bool:
         """Return whether a recent outage of the store is ruled out."""
         confirmed = self.age_s(now) <= self.times.outage_s
-        return confirmed and now - self.available_since > STEADY_S
+        return confirmed and now - self.available_since > OUTAGE_REPORT_S
 
     def within_bound(self, now: float) -> bool:
         """Return whether a request sent now keeps the bound on leaving endpoints."""
@@ -211,7 +218,7 @@
             Origin of the confirmation: the store or a peer.
         """
         self.known_offset = max(self.known_offset, as_of)
-        if at <= self.confirmed_at or at < self.trusted_from:
+        if at <= self.confirmed_at or at < self.confirmations_valid_from:
             return
         if at - self.confirmed_at > self.times.outage_s:
             self.available_since = at
@@ -240,7 +247,7 @@
         further read would slow the store down for all. The delay never exceeds the
         latest read age, so that a repeated read still ends within the bound.
         """
-        wait_s = self.times.answer_s * self.rng.uniform(*PEER_WAIT_FACTORS)
+        wait_s = self.times.read_timeout_s * self.rng.uniform(*PEER_WAIT_FACTORS)
         self.peer_read_expected_until = now + wait_s
 
     def invalidate(self, since: float = float("-inf")) -> None:
@@ -251,7 +258,7 @@
         since : float
             Monotonic time; replies to requests sent before it no longer confirm the
             list. The monotonic clock can stop during a freeze, so a reply that waited
-            in the socket during the freeze would look as young as on arrival.
+            in the socket during the freeze would be treated as if it had not waited.
         """
         self.confirmed_at = float("-inf")
-        self.trusted_from = since
+        self.confirmations_valid_from = since
--- a/poplarrelay/entry/peers.py
+++ b/poplarrelay/entry/peers.py
@@ -21,7 +21,8 @@
 __all__ = ["PeerTable", "SeenPeer", "SeenSummary", "choose_addresses"]
 
 #: Seconds without a new row after which a node counts as dead. A row reaches all nodes
-#: of a cell within three rounds of 0.4 s, and one lost round must not matter.
+#: of a cell within three rounds of 0.4 s, and one lost round must not make a
+#: node count as dead.
 SILENCE_S = 1.5
 #: Seconds without a new row after which a node is asked for its row, twice before it
 #: counts as dead. Random forwarding misses one node in a thousand for this long.
@@ -31,13 +32,13 @@
 #: takes up to another second to arrive.
 CELL_SILENCE_S = 2.8
 #: Seconds without a new row after which another node replaces the representative: two
-#: and a half rounds. Two representatives at once cost some datagrams; without one, the
-#: other cells lose the state of all nodes of the cell.
+#: and a half rounds. Two representatives at the same time cost some datagrams; without
+#: one, the other cells lose the state of all nodes of the cell.
 REPRESENTATIVE_SILENCE_S = 1.0
 #: Seconds after which the row of a silent node is deleted. Until then its counts are
 #: still in the sums, and it still gets gossip, in case it is only unreachable.
 FORGET_S = 25.0
-#: Most addresses in one reply to a caller.
+#: Maximum number of addresses in one reply to a caller.
 MAX_ADDRESSES = 64
 
 
@@ -206,8 +207,8 @@
 
         Notes
         -----
-        Without this, a resumed node counts all others as dead and names only itself
-        to callers.
+        Without this, a resumed node counts all others as dead and returns only its
+        own address to callers.
         """
         for peer in self.seen.values():
             peer.last_seen_at += frozen_s
--- a/poplarrelay/entry/permits.py
+++ b/poplarrelay/entry/permits.py
@@ -203,7 +203,8 @@
             share = reachable if host == self.own_host else own
             permit = self.issuer.issue(row.endpoint, row.started_ms, per_s, share, now)
             self._apply_permit(row, permit, now)
-            # The next call tries the coordinator once before it uses the own share.
+            # The next call tries the coordinator once before it uses this node's own
+            # share.
             self._unanswered[row.endpoint] = host, MAX_UNANSWERED - 1
             return
         self._unanswered[row.endpoint] = host, unanswered + 1
--- a/poplarrelay/entry/process.py
+++ b/poplarrelay/entry/process.py
@@ -29,7 +29,7 @@
 from poplarrelay.entry.host_directory import HostDirectory
 from poplarrelay.entry.http.listener import Handler, Listener
 from poplarrelay.entry.http.pool import ConnectionPool
-from poplarrelay.entry.list_exchange import TELL_S, ListExchange
+from poplarrelay.entry.list_exchange import EXCHANGE_DELAY_S, ListExchange
 from poplarrelay.entry.metrics import EntryMetrics
 from poplarrelay.entry.node_handlers import NodeHandlers
 from poplarrelay.entry.peer_rows import NodeState, PeerRow, reporter_of
@@ -54,18 +54,20 @@
 #: Shortest delay in seconds before an early broadcast of this node's row, so that one
 #: broadcast carries several changes.
 ANNOUNCE_DELAY_S = 0.05
-#: Seconds of this delay per receiving node. It bounds the load when a team exceeds its
-#: quota at all nodes of a cell and every node broadcasts: two hundred announcements
-#: a second take a node about 2% of a core.
+#: Minimum seconds of this delay per receiving node. If every node of a cell broadcasts,
+#: for example when a team exceeds its quota at all of them, each node receives at most
+#: 200 announcements a second (about 2% of a core).
 ANNOUNCE_DELAY_PER_NODE_S = 0.005
-#: Share of the gossip rounds in which hosts of all cells are seeds.
+#: Share of the gossip rounds that may contact listed hosts of any cell, not only of
+#: this node's cell.
 ANY_CELL_SHARE = 0.3
 #: Seconds that a read of the configuration waits for a change. Longer waits cost
 #: fewer calls. Keep-alive probes find a dead connection within three seconds, and the
 #: gossip of peers carries the newest version meanwhile.
 CONFIGURATION_WAIT_S = 10.0
 #: Seconds between status log lines. If only logs are kept, these lines alone show
-#: whether the node had contact with its peers; six lines a minute cost nothing.
+#: whether the node had contact with its peers; the cost of six lines a minute is
+#: negligible.
 STATUS_S = 10.0
 #: Timeout in seconds of a new connection to an endpoint.
 ENDPOINT_CONNECT_S = 0.6
@@ -232,14 +234,16 @@
             "discovery": (listeners.discovery, node_handlers.discovery),
             "control": (listeners.control, node_handlers.control),
         }
-        made = {}
+        result = {}
         for name, (address, handler) in handlers.items():
             host, port = parse_address(address)
-            made[name] = Listener(host, port, handler, self._limits)
+            result[name] = Listener(host, port, handler, self._limits)
         if listeners.metrics is not None:
             host, port = parse_address(listeners.metrics)
-            made["metrics"] = Listener(host, port, node_handlers.metrics, self._limits)
-        return made
+            result["metrics"] = Listener(
+                host, port, node_handlers.metrics, self._limits
+            )
+        return result
 
     def _limits(self) -> CallerLimits:
         configuration = self._state.configuration
@@ -343,11 +347,11 @@
     def _finished(self) -> bool:
         if self._stopping_at is None:
             return False
-        since_s = monotonic() - self._stopping_at
+        elapsed_s = monotonic() - self._stopping_at
         grace_s = self._settings.bounds.stop_grace_s
-        if since_s >= grace_s - CLOSE_MARGIN_S:
+        if elapsed_s >= grace_s - CLOSE_MARGIN_S:
             return True
-        return since_s >= MIN_DRAIN_S and self._listeners["callers"].busy == 0
+        return elapsed_s >= MIN_DRAIN_S and self._listeners["callers"].busy == 0
 
     async def _shut_down(self) -> None:
         busy = self._listeners["callers"].busy
@@ -404,7 +408,7 @@
         if self._path is None:
             await asyncio.Event().wait()
             return
-        before = self._path.read_bytes()
+        last_content = self._path.read_bytes()
         while True:
             await asyncio.sleep(SETTINGS_POLL_S)
             try:
@@ -412,8 +416,8 @@
             except OSError as error:
                 _LOG.warning("settings unreadable", extra={"why": str(error)})
                 continue
-            if content != before:
-                before = content
+            if content != last_content:
+                last_content = content
                 self.reload()
 
     # ticks
@@ -424,10 +428,11 @@
 
         Notes
         -----
-        Besides the seeds of the settings, most rounds use only hosts of this node's
-        cell. The node needs those first: when all nodes start at once, only one in
-        sixteen hosts is in the cell. The other rounds use all hosts, so that groups
-        that were partitioned find each other.
+        In addition to the seeds of the settings, most rounds use only hosts of this
+        node's cell. When all nodes start at the same time, a node needs its own cell
+        first, but the cell is only a small part of all hosts (with 16 cells, one host
+        in sixteen). The other rounds use all hosts, so that groups that were
+        partitioned find each other.
         """
         hosts = self._directory.hosts
         if self._rng.random() >= ANY_CELL_SHARE:
@@ -529,7 +534,9 @@
         """Schedule an exchange tick after a short delay, to collect further changes."""
         if self._exchange_timer is None:
             loop = asyncio.get_running_loop()
-            self._exchange_timer = loop.call_later(TELL_S, self._tick_exchange)
+            self._exchange_timer = loop.call_later(
+                EXCHANGE_DELAY_S, self._tick_exchange
+            )
 
     def _tick_exchange(self) -> None:
         self._exchange_timer = None
@@ -548,6 +555,7 @@
         alive = state.count_nodes(now)
         state.freshness.nodes = alive
         if peers.regroup(max(state.total_nodes, alive), now):
+            # `bits` is the number of hash bits that select a node's cell.
             _LOG.info("cells", extra={"bits": peers.bits, "cell": peers.cell.number})
         reporters = {reporter_of(seen.row) for seen in peers.seen.values()}
         reporters |= {str(cell) for cell in peers.summaries if cell.bits == peers.bits}
--- a/poplarrelay/entry/quotas.py
+++ b/poplarrelay/entry/quotas.py
@@ -23,7 +23,7 @@
 #: The same for the sums of another cell, which its representative sends.
 CELL_UNREACHABLE_S = 2.4
 #: Fraction of the burst below which usage is reported to other nodes immediately.
-TIGHT_SHARE = 0.5
+LOW_LEVEL_SHARE = 0.5
 #: Weight of one report in the moving average of a usage rate.
 RATE_WEIGHT = 0.5
 
@@ -183,7 +183,7 @@
 
     def is_low(self, quota: Quota) -> bool:
         """Return whether the level is so low that usage is reported immediately."""
-        return self.level < TIGHT_SHARE * quota.burst
+        return self.level < LOW_LEVEL_SHARE * quota.burst
 
     def take(
         self,
--- a/poplarrelay/entry/relaying.py
+++ b/poplarrelay/entry/relaying.py
@@ -118,18 +118,18 @@
                 Refusal(503, RefusalReason.NO_CONFIGURATION, UNREADY_RETRY_S),
             )
             return
-        verdict = admit(configuration, request)
-        if isinstance(verdict, NoRoute):
+        admission = admit(configuration, request)
+        if isinstance(admission, NoRoute):
             refusal = Refusal(404, RefusalReason.NO_ROUTE)
             await self._response_writer.refuse(request, exchange, refusal)
-        elif isinstance(verdict, Denied):
+        elif isinstance(admission, Denied):
             refusal = Refusal(401, RefusalReason.DENIED)
             await self._response_writer.refuse(request, exchange, refusal)
-        elif self._arrives_too_late(verdict.route):
+        elif self._arrives_too_late(admission.route):
             refusal = Refusal(503, RefusalReason.STOPPING, STOPPING_RETRY_S)
             await self._response_writer.refuse(request, exchange, refusal)
         else:
-            await self._serve_admitted(request, exchange, verdict, configuration)
+            await self._serve_admitted(request, exchange, admission, configuration)
 
     def _arrives_too_late(self, route: Route) -> bool:
         """Return whether this node might stop before the request ends."""
@@ -191,8 +191,8 @@
         """Run attempts until one answers; return a refusal if none answers in time."""
         if not context.route.repeatable and not context.streams:
             # The work cannot be undone, and its answer is due soon. It runs to its end
-            # even if the caller leaves: a caller that asks at another node then finds
-            # it done.
+            # even if the caller disconnects. A caller that then asks at another node
+            # finds the work done.
             context.exchange.on_disconnect(lambda: None)
         try:
             async with asyncio.timeout(max(0.0, context.remaining_s)):
@@ -465,8 +465,9 @@
         if isinstance(result, NotRun) and result.arrived and not result.gone:
             return
         # An endpoint that has crashed and restarted refuses requests for its former run
-        # at once, and its queue is empty. If this were no failure, it would look like
-        # the best choice for every request until the list shows the new run.
+        # immediately, and its queue is empty. If these refusals did not count as
+        # failures, it would look like the best choice for every request until the list
+        # shows the new run.
         certain = isinstance(result, NotRun)
         if certain:
             self._pool.forget(row.address)
--- a/poplarrelay/entry/request_queue.py
+++ b/poplarrelay/entry/request_queue.py
@@ -44,7 +44,7 @@
 
 
 def bound_retry_after(wait_s: float, remaining_s: float) -> float:
-    """Return the wait, limited to a retry delay that callers keep to, in seconds."""
+    """Return the wait, limited to a retry delay that callers respect, in seconds."""
     return max(MIN_RETRY_S, min(wait_s, RETRY_WAIT_SHARE * remaining_s))
 
 
--- a/poplarrelay/entry/scaling.py
+++ b/poplarrelay/entry/scaling.py
@@ -52,7 +52,7 @@
 BOOT_MARGIN_S = 1.5
 #: Seconds after which reclaimable endpoints are ordered again in an exhausted domain.
 EXHAUSTED_S = 2.5
-#: Least time for which an on-demand endpoint is kept, in boot times. An endpoint that
+#: Minimum time for which an on-demand endpoint is kept, in boot times. An endpoint that
 #: is released as soon as it serves costs its boot and gives no service.
 MIN_KEPT_BOOTS = 1.5
 #: Seconds after the first start of the system in which the existing endpoints are
@@ -65,7 +65,8 @@
 #: endpoints.
 RESTART_LOAD_S = 4.0
 #: Share of the difference by which the needed number falls per second when the demand
-#: falls. It rises at once: late orders cost answers, early cancellations cost boots.
+#: falls. It rises immediately: a late order delays answers, and an early cancellation
+#: wastes a boot.
 FALLING_SHARE_PER_S = 0.06
 #: Seconds over which the mean of the needed number is computed, which determines the
 #: on-demand endpoints. A few long prompts change the demand of a small service by a
@@ -146,7 +147,8 @@
             return
         for name in _scaled_services(configuration):
             needed = self._count_needed(name, now)
-            # A rise counts at once because the demand is already a mean over seconds.
+            # A rise counts immediately because the demand is already a mean over
+            # seconds.
             before = max(needed, self._needed.get(name, needed))
             self._needed[name] = before + falling * (needed - before)
             mean_needed = self._mean_needed.get(name, needed)
@@ -184,7 +186,9 @@
                 break
         for part in plan:
             order = EndpointOrder(service.name, part.domain, part.on_demand, False)
-            if part.on_demand != self._present(order) and not self._kept(order, limits):
+            if part.on_demand != self._present(
+                order
+            ) and not self._is_too_new_to_release(order, limits):
                 await self._order(order, limits)
 
     def _plan(
@@ -234,8 +238,10 @@
         present = self._present(EndpointOrder(service, domain, 0, True))
         return is_late and present < last.count
 
-    def _kept(self, order: EndpointOrder, limits: ScalingLimits) -> bool:
-        """Return whether on-demand endpoints are kept because they are too new."""
+    def _is_too_new_to_release(
+        self, order: EndpointOrder, limits: ScalingLimits
+    ) -> bool:
+        """Return whether an order would release on-demand endpoints too early."""
         last = self._orders.get((order.service, order.domain, False))
         if last is None or not self._is_reduction(order):
             return False
@@ -247,8 +253,9 @@
         Notes
         -----
         A reclaim of many endpoints takes all endpoints of a domain, and usually no new
-        ones are available there for some time. Orders in other domains at the time of
-        the notice save its two seconds of a boot time of four seconds.
+        ones are available there for some time. If replacements are ordered in other
+        domains when the notice arrives, two of their four seconds of boot time fall
+        before the reclaim.
         """
         ordered = {
             domain: last.count
@@ -289,15 +296,15 @@
     def _initial_minimum(
         self, service: ServiceName, rows: Sequence[Endpoint], now: float
     ) -> int:
-        """Return the least number of endpoints to have before the load is known.
+        """Return the minimum number of endpoints to have before the load is known.
 
         Notes
         -----
         There is no load yet when the system starts for the first time. The number of
         endpoints that operators have started and the teams' quotas show what to
-        expect. Orders by the load alone left two engines for the first seconds of 437
-        requests per second. Orders by the number of existing endpoints left sixteen
-        engines for a load that needed three dozen.
+        expect. When only the load determined the orders, there were two engines for the
+        first seconds of 437 requests per second. When the number of existing endpoints
+        determined them, there were sixteen engines for a load that needed three dozen.
         """
         if not self._state.settings.first_start:
             return 0
--- a/poplarrelay/entry/sizing.py
+++ b/poplarrelay/entry/sizing.py
@@ -26,9 +26,9 @@
 #: Fraction of an engine's maximum prefill speed that is used on average. Prompts arrive
 #: in bursts, and streams pause while the engine prefills other prompts.
 PREFILL_SHARE = 0.75
-#: Fraction of the needed endpoints that on-demand endpoints do not replace if
-#: reclaimable ones cost nothing in comparison. The last on-demand endpoints shorten few
-#: waits for their price.
+#: Fraction of the needed endpoints for which no on-demand endpoint is ordered if
+#: reclaimable ones are almost free in comparison. The last on-demand endpoints would
+#: shorten few waits and cost their full price.
 ON_DEMAND_SAVING = 0.1
 #: Fraction of an engine's slots that is used on average if answers are long and prompts
 #: short. Each request in a batch slows down all others.
@@ -218,7 +218,8 @@
     max_count = max(0, needed - sum(serving.values()))
     min_count = max(0, needed - sum(expected.values()))
     count = min(max(sum(on_demand.values()), min_count), max_count)
-    # Unavailable reclaimable endpoints must not take the room of on-demand ones.
+    # Unavailable reclaimable endpoints must not use up the limit that on-demand
+    # ones share.
     occupied = {
         d: serving[d] if d in inputs.exhausted_domains else reclaimable[d]
         for d in domains
@@ -259,19 +260,26 @@
     would be missing during the boot.
     """
     limits = inputs.limits
-    room = {d: max(0, limits.max_endpoints - on_demand[d]) for d in domains}
+    remaining_capacity = {
+        d: max(0, limits.max_endpoints - on_demand[d]) for d in domains
+    }
     counts = {
-        d: min(room[d], max(serving[d], inputs.ordered.get(d, 0))) for d in domains
+        d: min(remaining_capacity[d], max(serving[d], inputs.ordered.get(d, 0)))
+        for d in domains
     }
     open_domains = [d for d in domains if d not in inputs.exhausted_domains]
     equal_share = max(1, limits.min_endpoints, target // len(domains))
     for domain in open_domains:
-        counts[domain] = max(counts[domain], min(room[domain], equal_share))
+        counts[domain] = max(
+            counts[domain], min(remaining_capacity[domain], equal_share)
+        )
     while sum(counts.values()) < target:
-        with_room = [d for d in open_domains if counts[d] < room[d]]
-        if not with_room:
+        domains_below_limit = [
+            d for d in open_domains if counts[d] < remaining_capacity[d]
+        ]
+        if not domains_below_limit:
             break
-        counts[min(with_room, key=lambda d: counts[d])] += 1
+        counts[min(domains_below_limit, key=lambda d: counts[d])] += 1
     surplus = sum(min(serving[d], counts[d]) for d in domains) - target
     for _ in range(max(0, surplus)):
         largest = max(domains, key=lambda d: (counts[d], limits.domain_prices[d]))
@@ -291,12 +299,14 @@
     """Return the number of on-demand endpoints per domain, ordered ones first."""
     allocated = dict.fromkeys(domains, 0)
     for domain in domains:
-        room = max(0, limits.max_endpoints - reclaimable[domain])
-        allocated[domain] = min(ordered[domain], missing, room)
+        remaining_capacity = max(0, limits.max_endpoints - reclaimable[domain])
+        allocated[domain] = min(ordered[domain], missing, remaining_capacity)
         missing -= allocated[domain]
     for domain in domains:
-        room = max(0, limits.max_endpoints - reclaimable[domain]) - allocated[domain]
-        more = min(missing, room)
+        remaining_capacity = (
+            max(0, limits.max_endpoints - reclaimable[domain]) - allocated[domain]
+        )
+        more = min(missing, remaining_capacity)
         allocated[domain] += more
         missing -= more
     return allocated
--- a/poplarrelay/entry/slots.py
+++ b/poplarrelay/entry/slots.py
@@ -52,7 +52,7 @@
     backlog_client : BacklogClient
         Requests the backlogs of engines from their coordinators.
     permits : PermitBroker
-        Obtains permits for endpoints that state a limit.
+        Obtains permits for endpoints with a limit on requests per second.
     """
 
     def __init__(
@@ -106,17 +106,17 @@
         )
         candidates = candidates or sample_candidates(rows, criteria, now, rng)
         prefix = context.request.prefix
-        views = await self._backlog_client.request_backlogs(
+        backlogs = await self._backlog_client.request_backlogs(
             [row.endpoint for row in candidates], [part.part for part in prefix[:-1]]
         )
         now = monotonic()
-        down = {endpoint for endpoint, view in views.items() if view.down}
+        down = {endpoint for endpoint, backlog in backlogs.items() if backlog.down}
         cached_tokens = {}
         for row in candidates:
-            view = views.get(row.endpoint)
-            if view is not None:
-                row.update_backlog(view.tokens, view.speed, now)
-                cached_tokens[row.endpoint] = view.cached_tokens_at(prefix)
+            backlog = backlogs.get(row.endpoint)
+            if backlog is not None:
+                row.update_backlog(backlog.tokens, backlog.speed, now)
+                cached_tokens[row.endpoint] = backlog.cached_tokens_at(prefix)
         # Endpoints may have left or become full while the coordinators replied.
         available = [row for row in candidates if row.accepts_work and row.free]
         available = [row for row in available if row.endpoint not in down] or available
@@ -126,8 +126,9 @@
         if not context.may_have_run and not starts_in_time(
             self._forecast(context, choice, now)
         ):
-            # The affinity endpoint may have none of the prompt cached yet. Without that
-            # assumption another engine may be in time.
+            # If no engine is known to have the prompt cached, the first choice assumes
+            # that the affinity endpoint has. Without this assumption, another engine
+            # may be faster.
             choice = choose_candidate(
                 available, criteria, cached_tokens, now, assume_affinity_cached=False
             )
@@ -150,10 +151,11 @@
         return FirstEventForecast(waited_s, choice.queue_s, choice.prefill_s, target_s)
 
     def _known_accepting(self, rows: list[Endpoint], now: float) -> list[Endpoint]:
-        """Return the endpoints that are last known to accept work.
+        """Return the endpoints that were last known to accept work.
 
-        If the endpoint list is too old, these are only endpoints that have answered
-        within the age bound.
+        Suspended endpoints, whose records expired in an outage of the store, are left
+        out. If the endpoint list is too old, only endpoints that have answered within
+        the age bound are returned.
         """
         freshness = self._state.freshness
         if not freshness.within_bound(now):
@@ -246,6 +248,7 @@
             return None
         rate = sum(max(PROBE_PER_S, limit) for limit in limits)
         first_s = max(0.0, min(row.next_permit_at for row in rows) - now)
+        # All nodes share the permits, and the others may have as many requests queued.
         return first_s + ahead * self._state.count_nodes(now) / rate
 
     def _limit_refusal(self, context: RequestContext, wait_s: float) -> Refusal:
--- a/poplarrelay/entry/tests/test_freshness.py
+++ b/poplarrelay/entry/tests/test_freshness.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from poplarrelay.entry.list_exchange import (
+    EXCHANGE_DELAY_S,
     FANOUT,
     MAX_RECORD_BYTES,
-    TELL_S,
     ChangesReply,
     ChangesRequest,
     ListAnnouncement,
@@ -163,7 +163,12 @@
     # confirms, a read that times out, the pause, the second read and the time for
     # sending a request.
     times = ListTimes.from_config(BoundSettings(leaving_endpoint_ms=bound_ms))
-    longest_s = times.latest_read_s + times.answer_s + times.pause_s + times.answer_s
+    longest_s = (
+        times.latest_read_s
+        + times.read_timeout_s
+        + times.pause_s
+        + times.read_timeout_s
+    )
     assert longest_s <= times.max_list_age_s < times.bound_s == bound_ms / 1000
 
 
@@ -307,7 +312,7 @@
             node.exchange.note_departure(EndpointId("r1"))
             await site.kill_node("a")
             sent = node.gossip.sent_datagrams
-            await asyncio.sleep(2 * TELL_S)
+            await asyncio.sleep(2 * EXCHANGE_DELAY_S)
             node.exchange.tick(monotonic())
             assert node.gossip.sent_datagrams == sent
         assert not errors
--- a/poplarrelay/platform/headers.py
+++ b/poplarrelay/platform/headers.py
@@ -191,7 +191,7 @@
     ----------
     endpoint : EndpointId
         The only endpoint that is allowed to run the request. Another endpoint may have
-        got the address meanwhile.
+        received the address since.
     remaining_s : float
         Seconds until the caller stops waiting for the answer.
     priority : int or None
--- a/poplarrelay/platform/store.py
+++ b/poplarrelay/platform/store.py
@@ -318,7 +318,7 @@
         return GroupAssignment(int(raw["generation"]), held)
 
     async def leave(self, group: str, member: str) -> None:
-        """Leave a group, so that its partitions are assigned to others at once."""
+        """Leave a group, so that its partitions are assigned to others immediately."""
         body = orjson.dumps({"group": group, "memberId": member})
         await self._call("leave", "POST", "/api/log-leave", body)
 
--- a/poplarrelay/testing/soak/callers.py
+++ b/poplarrelay/testing/soak/callers.py
@@ -146,7 +146,7 @@
         sent.status = response.status
         sent.body = response.body
         sent.ending = Ending.ANSWERED
-        return connection.recycle(response.headers, monotonic())
+        return connection.prepare_reuse(response.headers, monotonic())
 
     async def _connect(self, sent: SentRequest) -> Connection:
         connection = self._connections.pop(sent.node, None)
