--- a/bench/campaign.py
+++ b/bench/campaign.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class ReceivedOutcomes:
     """Outcomes that the callers received, by booking.
 
     Attributes
@@ -73,7 +73,9 @@
                 self.seconds.append(seconds)
 
 
-def _book_seat(site: RunningSite, scheme: KeyScheme, number: int, tally: Tally) -> None:
+def _book_seat(
+    site: RunningSite, scheme: KeyScheme, number: int, received: ReceivedOutcomes
+) -> None:
     rng = random.Random(number)
     client = site.client("alpha", seed=number)
     body = json.dumps({"seat": number}).encode()
@@ -86,7 +88,7 @@
             else client.new_ticket()[1]
         )
     except ClientError:
-        tally.add(name, "not_run", 0.0)
+        received.add(name, "not_run", 0.0)
         return
     callers = 3 if rng.random() < TRIPLED_FRACTION else 1
 
@@ -108,7 +110,7 @@
             outcome = "not_run" if failure.problem else "not_reached"
         except ClientError:
             outcome = "unknown"
-        tally.add(name, outcome, time.monotonic() - started)
+        received.add(name, outcome, time.monotonic() - started)
 
     threads = [threading.Thread(target=send, args=(i,)) for i in range(callers)]
     for thread in threads:
@@ -200,7 +202,11 @@
 
 
 def _send_all(
-    site: RunningSite, scheme: KeyScheme, requests: int, rate: float, tally: Tally
+    site: RunningSite,
+    scheme: KeyScheme,
+    requests: int,
+    rate: float,
+    received: ReceivedOutcomes,
 ) -> None:
     numbers = iter(range(requests))
     lock = threading.Lock()
@@ -213,7 +219,7 @@
             if number is None:
                 return
             time.sleep(max(0.0, began + number / rate - time.monotonic()))
-            _book_seat(site, scheme, number, tally)
+            _book_seat(site, scheme, number, received)
 
     threads = [threading.Thread(target=send_next) for _ in range(CALLERS)]
     for thread in threads:
@@ -222,26 +228,26 @@
         thread.join()
 
 
-def _evaluate(tally: Tally, runs: dict[str, int]) -> dict[str, object]:
+def _evaluate(received: ReceivedOutcomes, runs: dict[str, int]) -> dict[str, object]:
     counts = Counter(
-        outcome for outcomes in tally.outcomes.values() for outcome in outcomes
+        outcome for outcomes in received.outcomes.values() for outcome in outcomes
     )
-    doubled = sum(1 for name in tally.outcomes if runs.get(name, 0) > 1)
+    doubled = sum(1 for name in received.outcomes if runs.get(name, 0) > 1)
     false_not_run = sum(
         1
-        for name, outcomes in tally.outcomes.items()
+        for name, outcomes in received.outcomes.items()
         if "not_run" in outcomes and runs.get(name, 0) > 0
     )
     answered_without_run = sum(
         1
-        for name, outcomes in tally.outcomes.items()
+        for name, outcomes in received.outcomes.items()
         if "answered" in outcomes and runs.get(name, 0) == 0
     )
     requested = sum(counts.values())
-    in_time = sum(1 for seconds in tally.seconds if seconds <= IN_TIME_S)
-    ordered = sorted(tally.seconds) or [0.0]
+    in_time = sum(1 for seconds in received.seconds if seconds <= IN_TIME_S)
+    ordered = sorted(received.seconds) or [0.0]
     return {
-        "bookings": len(tally.outcomes),
+        "bookings": len(received.outcomes),
         "asked": requested,
         "words": dict(counts),
         "doubled": doubled,
@@ -258,7 +264,7 @@
     scheme: KeyScheme, scenario: str, requests: int, rate: float, seed: int
 ) -> dict[str, object]:
     """Run one campaign and return its figures."""
-    tally, stop = Tally(), threading.Event()
+    received, stop = ReceivedOutcomes(), threading.Event()
     with run_site(
         small_site(nodes=NODES, engines=1, services=DESKS), settings=SETTINGS
     ) as site:
@@ -268,13 +274,13 @@
         )
         injector.start()
         began = time.monotonic()
-        _send_all(site, scheme, requests, rate, tally)
+        _send_all(site, scheme, requests, rate, received)
         elapsed = time.monotonic() - began
         stop.set()
         injector.join()
         site.faults("log")
         time.sleep(DEADLINE_S)
-        figures = _evaluate(tally, site.runs())
+        figures = _evaluate(received, site.runs())
         after = site.get(site.platform["log"], "/statistics")
     figures["seconds"] = round(elapsed, 1)
     figures["appends"] = after["appends"] - appends["appends"]
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -27,8 +27,8 @@
 RATES = (0, 10, 20, 40)
 CHANGES = 60
 #: Seconds until the gossip about the start has spread and the nodes are idle.
-SETTLE_S = 8.0
-SETTLE_NODES_S = 15.0
+WARM_UP_S = 8.0
+WARM_UP_NODES_S = 15.0
 WINDOW_S = 10.0
 FUTURE_NODES = 410
 FUTURE_ENDPOINTS_WATCHED = 32
@@ -95,7 +95,7 @@
     site: RunningSite,
     x: float,
     during: Callable[[float], None] | None = None,
-    settle_s: float = SETTLE_S,
+    warm_up_s: float = WARM_UP_S,
 ) -> Point:
     """Return the resources that the nodes use during a measured window.
 
@@ -107,10 +107,10 @@
         Value of the varied quantity.
     during : callable, optional
         Load of the given number of seconds. Without it, the nodes stay idle.
-    settle_s : float
+    warm_up_s : float
         Seconds to wait before the window.
     """
-    time.sleep(settle_s)
+    time.sleep(warm_up_s)
     pids = {name: process.pid for name, process in site.nodes.items()}
     cpu_before = {name: cpu_seconds(pid) for name, pid in pids.items()}
     control_bytes = {name: _control_bytes(site, name) for name in pids}
@@ -137,7 +137,7 @@
     points = []
     for count in NODE_COUNTS:
         with run_site(small_site(nodes=count, engines=2)) as site:
-            points.append(observe(site, count, settle_s=SETTLE_NODES_S))
+            points.append(observe(site, count, warm_up_s=WARM_UP_NODES_S))
     return points
 
 
@@ -184,7 +184,7 @@
         Seconds from each publication until the change is in force on all nodes.
     """
     with run_site(small_site(nodes=9, engines=2)) as site:
-        time.sleep(SETTLE_S)
+        time.sleep(WARM_UP_S)
         pids = [p.pid for name, p in site.nodes.items() if name != "node-1"]
         idle_began, idle = time.monotonic(), sum(cpu_seconds(pid) for pid in pids)
         time.sleep(WINDOW_S)
@@ -213,7 +213,7 @@
 
 
 def plot(title: str, points: list[tuple[float, float]], line: FittedLine) -> str:
-    """Return a text plot: `o` for a measured point, beside it the line's value."""
+    """Return a text plot: `o` for a measured point, and the fitted line's value."""
     highest = max(y for _, y in points) or 1.0
     rows = [title]
     for x, y in points:
--- a/bench/deferred_safeguards.py
+++ b/bench/deferred_safeguards.py
@@ -107,7 +107,7 @@
         "MemberStatus.LEAVING)",
     ),
     _safeguard(
-        "peers that are dead may have known it",
+        "dead peers may have had the request",
         "lookups.py",
         "        complete=len(reachable) == len(likely),\n",
         "",
--- a/bench/entry_safeguards.py
+++ b/bench/entry_safeguards.py
@@ -294,7 +294,7 @@
         "test_nodes.py",
     ),
     Safeguard(
-        "draining nodes are not listed beside ready ones",
+        "draining nodes are not listed if there are ready ones",
         f"{ENTRY}/peers.py",
         "    chosen = [row for row in rows if row.state is NodeState.READY]\n",
         "    chosen = list(rows)\n",
@@ -542,7 +542,7 @@
         "test_sizing.py",
     ),
     Safeguard(
-        "exhausted domains reserve no room",
+        "exhausted domains reserve no capacity",
         f"{ENTRY}/sizing.py",
         "serving[d] if d in inputs.exhausted_domains else reclaimable[d]",
         "reclaimable[d]",
@@ -577,7 +577,7 @@
         "test_cells.py",
     ),
     Safeguard(
-        "nodes that know nobody are told whom to ask",
+        "nodes without peers get cell summaries",
         f"{ENTRY}/gossip.py",
         "            self._introduce(rows[0], now)\n",
         "            pass\n",
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,4 +1,4 @@
-"""Measure one team's calls beside another team's flood, and retries after a crash.
+"""Measure a team's calls while another floods the nodes, and retries after a crash.
 
 All measurements run one after another on one site.
 """
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -17,7 +17,7 @@
 
 NODES = 9
 ROUNDS = 4
-QUIET_S = 20.0
+IDLE_S = 20.0
 HEADERS = {"Authorization": f"Bearer {team_token('alpha')}"}
 SETTINGS = {"timing": {"drain_s": 4.0, "address_ttl_s": 1.0}}
 
@@ -75,7 +75,7 @@
     figures: dict[str, object] = {}
     with run_site(small_site(nodes=NODES, engines=1), settings=SETTINGS) as site:
         before = _count_suspicions(site)
-        time.sleep(QUIET_S)
+        time.sleep(IDLE_S)
         figures["false_suspicions_in_20_s"] = _count_suspicions(site) - before
         for failure in ("dead", "frozen", "leaving"):
             removal_times = []
--- a/bench/membership_at_size.py
+++ b/bench/membership_at_size.py
@@ -23,10 +23,10 @@
 __all__ = ["Figures", "measure"]
 
 #: Seconds until the nodes have found each other, and seconds without any change.
-SETTLE_S = 6.0
-QUIET_S = 3.0
+WARM_UP_S = 6.0
+IDLE_S = 3.0
 #: Seconds of observation after the state changes, and again after the kills.
-AFTER_S = 4.0
+OBSERVATION_S = 4.0
 #: Nodes that change their state, and nodes that are killed.
 CHANGED, KILLED = 8, 5
 #: The error of a team's usage is relative to its usage in these seconds, as for quotas.
@@ -75,7 +75,7 @@
     waiting = {(host, v) for host in network.alive for v in victims if host != v}
     total = len(waiting)
     times: list[float] = []
-    for _ in network.run(AFTER_S):
+    for _ in network.run(OBSERVATION_S):
         detected = {pair for pair in waiting if sees(*pair)}
         waiting -= detected
         times += [network.now - began] * len(detected)
@@ -96,13 +96,13 @@
         Seed of the random generators.
     """
     network = Network.create(count, loss, seed)
-    for _ in network.run(SETTLE_S):
+    for _ in network.run(WARM_UP_S):
         pass
     sent = [(n.sent_bytes, n.sent_datagrams) for n in network.nodes.values()]
     cpu_s = time.process_time()
     false_deaths = pairs = 0
     errors = []
-    for _ in network.run(QUIET_S):
+    for _ in network.run(IDLE_S):
         found = network.count_false_deaths()
         false_deaths, pairs = false_deaths + found[0], pairs + found[1]
         errors.append(_usage_error(network))
@@ -116,26 +116,26 @@
         network.tables[host].me.version += 1
         network.nodes[host].run_round((), to_all=True)
 
-    def sees_change(host: str, victim: str) -> bool:
+    def lists_as_draining(host: str, victim: str) -> bool:
         states = network.tables[host].states()
         return states.get(network.tables[victim].me.node) is NodeState.DRAINING
 
-    def sees_death(host: str, victim: str) -> bool:
+    def lists_as_dead(host: str, victim: str) -> bool:
         alive = network.tables[host].alive(network.now)
         return all(row.host != victim for row in alive)
 
-    change_s = _detection_time(network, changed, sees_change)
+    change_s = _detection_time(network, changed, lists_as_draining)
     killed = network.rng.sample(network.alive, min(KILLED, count // 3))
     network.dead |= set(killed)
-    detect_s = _detection_time(network, killed, sees_death)
+    detect_s = _detection_time(network, killed, lists_as_dead)
     return Figures(
         nodes=count,
         false_deaths_percent=round(100 * false_deaths / pairs, 3),
         news_p99_s=round(change_s, 2),
         detect_p99_s=round(detect_s, 2),
-        sent_kb_s=round(sent_bytes / count / QUIET_S / 1000, 1),
-        messages_s=round(datagrams / count / QUIET_S, 1),
-        cpu_percent=round(100 * cpu_s / count / QUIET_S, 2),
+        sent_kb_s=round(sent_bytes / count / IDLE_S / 1000, 1),
+        messages_s=round(datagrams / count / IDLE_S, 1),
+        cpu_percent=round(100 * cpu_s / count / IDLE_S, 2),
         use_error_percent=round(sum(errors) / len(errors), 2),
     )
 
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -85,7 +85,7 @@
 
 
 def without_release_age(stack: ExitStack) -> None:
-    """Claim a key again after any release, also for requests from before it."""
+    """Claim a key again after any release, even for requests from before it."""
 
     def claim_again(world, request, key, reply, now):
         yield from claiming.claim_key(world, request, world.claims.get(key), now)
@@ -203,9 +203,9 @@
         node = self.nodes[name]
         if node.frozen_at is not None:
             node.frozen_at = None
-            for arrived in node.unread:
+            for arrived in node.unprocessed:
                 node.inbox.append(replace(arrived, received=self.now))
-            node.unread.clear()
+            node.unprocessed.clear()
 
     _patch(stack, FakeSystem, "thaw", resume)
 
--- a/poplarrelay/entry/tests/test_backlogs.py
+++ b/poplarrelay/entry/tests/test_backlogs.py
@@ -73,7 +73,7 @@
 
 def test_prompt_of_a_killed_node_is_removed_from_the_queue():
     # A killed node does not report that its prompt has begun. If the prompt stayed
-    # queued, the engine would seem busy for ever and get no more prompts.
+    # queued, the engine would seem busy forever and get no more prompts.
     table = BacklogTable()
     table.add_prompt("a", make_placement(1, 50_000), 0.0)
     table.forget([E], PROMPT_EXPIRY_S / 2)
@@ -212,19 +212,19 @@
     # of the other coordinators. Later requests do not ask it.
     async def scenario():
         network = make_backlog_clients(3)
-        asker = network.clients["h0"]
+        requester = network.clients["h0"]
         engines = [EndpointId(f"e{i}") for i in range(12)]
         network.down.add("h2")
-        views = await asker.request_backlogs(engines, ())
+        views = await requester.request_backlogs(engines, ())
         missing = [e for e in engines if e not in views]
         assert missing
         assert len(missing) < 12
         network.sent.clear()
-        await asker.request_backlogs(engines, ())
+        await requester.request_backlogs(engines, ())
         assert all(host != "h2" for _, host, _ in network.sent)
         network.down.clear()
-        asker.monotonic = lambda: UNANSWERED_PAUSE_S + 1.0
-        assert len(await asker.request_backlogs(engines, ())) == 12
+        requester.monotonic = lambda: UNANSWERED_PAUSE_S + 1.0
+        assert len(await requester.request_backlogs(engines, ())) == 12
 
     asyncio.run(scenario())
 
--- a/poplarrelay/entry/tests/test_calls.py
+++ b/poplarrelay/entry/tests/test_calls.py
@@ -208,9 +208,9 @@
     run_scenario(scenario)
 
 
-def test_extra_answer_is_not_taken_for_the_next_answer():
-    # An endpoint sends a second answer after the first. Guards against taking it for
-    # the answer to the next request on the connection, possibly of another caller.
+def test_second_answer_is_not_mistaken_for_the_next_answer():
+    # An endpoint sends a second answer after the first. Guards against mistaking it
+    # for the answer to the next request on the connection, possibly of another caller.
     async def scenario():
         async with run_entry_site() as site:
             runner = await site.add_runner("r1", CALLS)
@@ -523,13 +523,13 @@
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", 0))
                 dead = probe.getsockname()[1]
-            sound = await site.add_runner("r1", CALLS)
+            healthy = await site.add_runner("r1", CALLS)
             gone = await site.add_runner("r2", CALLS)
             site.list_runner("r2", CALLS, address=f"127.0.0.1:{dead}")
             gone.stop()
             await site.ready(endpoints=2)
             for _ in range(6):
                 assert (await site.call("/book/x")).status == 200
-            assert len(sound.ran) == 6
+            assert len(healthy.ran) == 6
 
     run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_cells.py
+++ b/poplarrelay/entry/tests/test_cells.py
@@ -36,7 +36,7 @@
     # sent its row to all others, rows were 2.4 s old (99 of 100) and one live peer in
     # thirteen counted as dead. Callers then got fewer addresses, and requests of teams
     # were rejected within their quotas.
-    network = make_network(75, loss=0.025, settle_s=6.0)
+    network = make_network(75, loss=0.025, warm_up_s=6.0)
     false_deaths = pairs = 0
     for _ in network.run(2.0):
         found = network.count_false_deaths()
@@ -47,7 +47,7 @@
 def test_killed_representative_is_removed_and_its_cell_stays_listed():
     # The representative of a cell is killed, and its own cell notices first. Other
     # cells must neither lose the rest of that cell nor keep the dead node listed.
-    network = make_network(60, settle_s=6.0)
+    network = make_network(60, warm_up_s=6.0)
     representative = next(
         h for h, t in network.tables.items() if t.is_representative(network.now)
     )
@@ -67,7 +67,7 @@
     # Gossip goes to random peers and can miss a node for longer than the silence after
     # which a peer counts as dead. Here all datagrams are lost except replies to
     # requests.
-    network = make_network(3, settle_s=2.0)
+    network = make_network(3, warm_up_s=2.0)
     one, other = network.alive[:2]
     network.drop_rounds = True
     for _ in network.run(3.0):
@@ -78,7 +78,7 @@
 def test_nodes_that_know_only_seeds_discover_all_others():
     # All nodes start at the same time and know three hosts. All three can belong to
     # other cells, which do not keep the rows of the new node.
-    network = make_network(60, settle_s=0.0)
+    network = make_network(60, warm_up_s=0.0)
     for _ in network.run(5.0):
         pass
     for host, table in network.tables.items():
@@ -88,7 +88,7 @@
 def test_simultaneous_stops_send_a_bounded_number_of_datagrams():
     # All nodes stop cleanly at the same time. A datagram from each node to all others
     # would make 90,000 with 300 nodes; representatives inform the other cells instead.
-    network = make_network(60, settle_s=6.0)
+    network = make_network(60, warm_up_s=6.0)
     before = sum(node.sent_datagrams for node in network.nodes.values())
     for host in network.alive:
         network.tables[host].me.state = NodeState.DRAINING
@@ -103,11 +103,11 @@
     # with the old summary would list the dead node again.
     table = _make_table_with_cells()
     cell = _other_cell(table)
-    old = make_summary(cell, "a-speaker", 5, hosts=["10.0.0.1", "10.0.0.2"])
+    old = make_summary(cell, "a-representative", 5, hosts=["10.0.0.1", "10.0.0.2"])
     assert table.receive_summary(old, 10.0)
-    new = make_summary(cell, "b-speaker", 9, hosts=["10.0.0.2"])
+    new = make_summary(cell, "b-representative", 9, hosts=["10.0.0.2"])
     assert not table.receive_summary(new, 10.0 + REPRESENTATIVE_SILENCE_S / 2)
-    newer = make_summary(cell, "b-speaker", 10, hosts=["10.0.0.2"])
+    newer = make_summary(cell, "b-representative", 10, hosts=["10.0.0.2"])
     assert table.receive_summary(newer, 10.2 + REPRESENTATIVE_SILENCE_S)
     assert not table.receive_summary(old, 10.3 + REPRESENTATIVE_SILENCE_S)
     hosts = {row.host for row in table.alive(10.3 + REPRESENTATIVE_SILENCE_S)}
@@ -121,17 +121,17 @@
     assert choose_addresses(table, 1, 10.1 + CELL_SILENCE_S, Random(1)) == ["me:1"]
 
 
-def test_rows_of_other_cells_are_not_counted_besides_their_summary():
-    # A seed receives rows of new nodes from any cell. If it kept these rows besides the
-    # summary of their cell, the usage would count twice.
+def test_rows_of_other_cells_are_not_counted_in_addition_to_their_summary():
+    # A seed receives rows of new nodes from any cell. If it kept these rows in addition
+    # to the summary of their cell, the usage would count twice.
     table = _make_table_with_cells()
     cell = _other_cell(table)
-    stranger = next(
+    row_of_other_cell = next(
         node
         for node in map(NodeId, map(str, range(1000)))
         if cell_of(node, table.bits) == cell
     )
-    assert not table.receive(make_row(stranger), 10.0)
+    assert not table.receive(make_row(row_of_other_cell), 10.0)
     assert table.rows_and_summaries(10.0) == []
 
 
@@ -182,7 +182,7 @@
     ],
 )
 def test_malformed_datagram_removes_no_peer(datagram, caplog):
-    network = make_network(3, settle_s=2.0)
+    network = make_network(3, warm_up_s=2.0)
     host = network.alive[0]
     before = len(network.tables[host].alive(network.now))
     network.nodes[host].datagram_received(datagram, ("10.9.9.9", 1))
@@ -193,7 +193,7 @@
 def test_datagrams_without_cells_are_accepted():
     # During a rolling restart, nodes of the previous version send only rows and an
     # announcement.
-    network = make_network(3, settle_s=2.0)
+    network = make_network(3, warm_up_s=2.0)
     host = network.alive[0]
     row = ["old", "0000000000001-000001", 1, "10.9.9.8", "d", "ready", 1]
     message = {
@@ -213,7 +213,7 @@
     # announces a departure in four datagrams. When replies to single peers used them
     # up, most peers got the departure only on request and sent the endpoint requests
     # until then.
-    network = make_network(3, settle_s=2.0)
+    network = make_network(3, warm_up_s=2.0)
     node = network.nodes[network.alive[0]]
     plain = ListAnnouncement(Offset(0), MAX_REPORTED_AGE_S)
     exchange: Any = Mock()
--- a/poplarrelay/entry/tests/test_clock.py
+++ b/poplarrelay/entry/tests/test_clock.py
@@ -21,7 +21,7 @@
     st.lists(st.floats(-5, 5), max_size=2),
     st.floats(-5, 5),
 )
-def test_less_than_half_of_the_clocks_cannot_mislead(good, bad, own):
+def test_a_minority_of_wrong_clocks_does_not_change_the_time(good, bad, own):
     # At most two peers and the node itself have a wrong clock; at least four peers have
     # a correct one.
     clock = clock_of(own, [*good, *bad])
--- a/poplarrelay/entry/tests/test_crashes.py
+++ b/poplarrelay/entry/tests/test_crashes.py
@@ -29,7 +29,7 @@
 FINGERPRINT = RequestFingerprint("f" * 24)
 RUNS = [EndpointRun(f"{number:08x}") for number in range(BLOCKING_CRASHES)]
 #: Seconds after the last crash within which all nodes must block the request.
-SPREAD_S = 3.0
+BLOCKING_DEADLINE_S = 3.0
 
 
 def crash(table: CrashTable, runs: list[EndpointRun], now: float) -> None:
@@ -47,7 +47,7 @@
     """Return whether all tables block the request in time."""
     return any(
         all(blocked(table, network.now) for table in tables)
-        for _ in network.run(SPREAD_S)
+        for _ in network.run(BLOCKING_DEADLINE_S)
     )
 
 
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("nodes", [9, 61, 195])
 def test_all_nodes_block_the_request_soon_after_the_third_crash(nodes):
     # Guards against nodes in other cells that still relay a blocked request.
-    network = make_network(nodes, loss=0.025, settle_s=4.0)
+    network = make_network(nodes, loss=0.025, warm_up_s=4.0)
     for host, run in zip(network.alive[:: nodes // 3], RUNS, strict=False):
         crash(network.crashes[host], [run], network.now)
     assert all_block_in_time(network, list(network.crashes.values()))
@@ -144,7 +144,7 @@
 
 def test_crash_records_are_sent_in_bounded_datagrams_and_not_forever():
     # Guards against datagrams that are too large and against endless repetition.
-    network = make_network(9, settle_s=2.0)
+    network = make_network(9, warm_up_s=2.0)
     table = network.crashes[network.alive[0]]
     for number in range(10 * MAX_RECORDS_SENT):
         name = RequestFingerprint(Random(number).randbytes(12).hex())
@@ -182,7 +182,7 @@
 
 def test_node_without_crash_records_accepts_datagrams_with_them(caplog, monkeypatch):
     # Guards against datagrams that nodes of the previous version cannot decode.
-    network = make_network(2, settle_s=2.0)
+    network = make_network(2, warm_up_s=2.0)
     one, other = network.alive
     network.nodes[other]._crashes = None
     crash(network.crashes[one], RUNS, network.now)
@@ -199,7 +199,7 @@
     "records", [[7], [["f"]], [["f", "alpha", 3, None]], [["f", "a", [["r", "x"]], 0]]]
 )
 def test_malformed_crash_records_change_nothing(records, caplog):
-    network = make_network(2, settle_s=2.0)
+    network = make_network(2, warm_up_s=2.0)
     one, other = network.alive
     data = network.nodes[one]._encode(
         [], network.nodes[one]._announcement(), [], crashes=records
--- a/poplarrelay/entry/tests/test_crashing_requests.py
+++ b/poplarrelay/entry/tests/test_crashing_requests.py
@@ -24,9 +24,9 @@
 
 CRASHING_BODY = b"a body that no endpoint survives"
 #: Seconds after the third crash within which all nodes must block the request.
-SPREAD_S = 3.0
+BLOCKING_DEADLINE_S = 3.0
 #: Attempts that can still reach endpoints after that.
-MOST_LATE_ATTEMPTS = 3
+MAX_LATE_ATTEMPTS = 3
 ENDPOINTS = 8
 
 
@@ -82,8 +82,8 @@
             await send_repeatedly(site, path, for_s=8.0)
             times = [request.at for request in arrivals(site)]
             assert len(times) >= 3
-            late = [at for at in times if at > times[2] + SPREAD_S]
-            assert len(late) <= MOST_LATE_ATTEMPTS
+            late = [at for at in times if at > times[2] + BLOCKING_DEADLINE_S]
+            assert len(late) <= MAX_LATE_ATTEMPTS
 
     run_scenario(scenario)
 
@@ -97,7 +97,7 @@
             seed = site.nodes["a"].state.settings.listeners.control
             await site.add_node("later", seed)
             await site.ready("later", endpoints=1)
-            await asyncio.sleep(SPREAD_S)
+            await asyncio.sleep(BLOCKING_DEADLINE_S)
             known = len(arrivals(site))
             assert known >= 3
             for _ in range(4):
@@ -231,8 +231,8 @@
             await site.kill_and_restart_process("b")
             await sending
             times = [request.at for request in arrivals(site)]
-            late = [at for at in times if at > times[2] + SPREAD_S]
-            assert len(late) <= MOST_LATE_ATTEMPTS
+            late = [at for at in times if at > times[2] + BLOCKING_DEADLINE_S]
+            assert len(late) <= MAX_LATE_ATTEMPTS
             assert (await site.call("/look/x", "b")).status == 200
 
     run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_cuts.py
+++ b/poplarrelay/entry/tests/test_cuts.py
@@ -81,7 +81,7 @@
     run_scenario(scenario)
 
 
-def test_partitioned_nodes_together_keep_to_one_quota():
+def test_partitioned_nodes_together_stay_within_one_quota():
     # Two nodes are partitioned, and a team floods both for three seconds. If each node
     # gave out the full refill, twice the quota would pass.
     async def scenario():
--- a/poplarrelay/entry/tests/test_days.py
+++ b/poplarrelay/entry/tests/test_days.py
@@ -18,7 +18,7 @@
     return {kind: set(re.findall(r"`(\w+)`", fields)) for kind, fields in rows}
 
 
-def test_docs_list_every_day():
+def test_docs_list_every_day_file():
     page = (ROOT / "docs" / "DAYS.md").read_text()
     assert DAYS
     assert all(f"`{path.stem}`" in page for path in DAYS)
--- a/poplarrelay/entry/tests/test_decisions.py
+++ b/poplarrelay/entry/tests/test_decisions.py
@@ -133,8 +133,8 @@
         assert note_failure(rows[0], rows, 0.0, certain=True)
 
     def test_endpoints_are_not_avoided_if_all_of_a_service_fail_as_often(self):
-        # All endpoints answer one request in seven with an error of their own. To avoid
-        # some of them would only add load to the others.
+        # All endpoints answer one request in seven with an error that the service
+        # itself causes. To avoid some of them would only add load to the others.
         rows = [endpoint(f"e{i}") for i in range(4)]
         rng = Random(7)
         avoided = 0
--- a/poplarrelay/entry/tests/test_departures.py
+++ b/poplarrelay/entry/tests/test_departures.py
@@ -2,7 +2,7 @@
 
 A request reached an endpoint over three seconds after the store had acknowledged its
 departure. It ran, but a little later the endpoint's end would have aborted it. The node
-took an old list for recent, or knew that it was old and ignored this. Each test covers
+mistook an old list for a recent one, or ignored that its list was old. Each test covers
 one cause, with a store that works.
 """
 
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("record", ["removed", "leaving"])
 def test_one_unanswered_read_does_not_hide_a_departure(record):
     # An endpoint leaves while one read of one node gets no reply, as on a busy link. If
-    # the node reads when its list is 1.2 s old, waits 1.2 s for the reply and takes
+    # the node reads when its list is 1.2 s old, waits 1.2 s for the reply and mistakes
     # this for an outage of the store, it keeps the removed record for 2.3 s more. Its
     # log then says `record did not come back`, others say `record removed`.
     async def scenario():
@@ -118,13 +118,13 @@
             left = rows[EndpointId("r1")]
             take = ConnectionPool.take
 
-            async def take_late(pool, address):
+            async def take_and_mark_leaving(pool, address):
                 connection = await take(pool, address)
                 if address == left.address:
                     left.leaving = True
                 return connection
 
-            monkeypatch.setattr(ConnectionPool, "take", take_late)
+            monkeypatch.setattr(ConnectionPool, "take", take_and_mark_leaving)
             for _ in range(6):
                 assert (await site.call("/book/x")).status == 200
             assert left.leaving
--- a/poplarrelay/entry/tests/test_duties.py
+++ b/poplarrelay/entry/tests/test_duties.py
@@ -43,7 +43,7 @@
 
     def test_regained_duty_waits_after_the_last_action_of_this_node(self):
         # The duty moves from this node to another one and back within a second. If this
-        # node acted at once, the holders would be A, B, A within the bound of 3 s.
+        # node acted immediately, the holders would be A, B, A within the bound of 3 s.
         lease = DutyLease(ttl_s=2.0, wait_s=3.0, last_action_at=-10.0)
         lease.renew(True, 5, 0.0)
         assert lease.may_act(0.1)
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("lost", [False, True], ids=["answered", "answers lost"])
 def test_next_holder_repeats_the_decided_counts(lost):
     # The holder reports a window, with or without a response, and is killed. The next
-    # holder knows other counts, since some requests arrived late. It must repeat the
+    # holder has other counts, since some requests arrived late. It must repeat the
     # decided counts, or the platform accepts two different reports of one window.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
@@ -133,7 +133,7 @@
             await poll_until(lambda: len(site.cloud.windows()) > reported + 1)
             site.cloud.lose_answers = False
             await site.kill_node(first)
-            # The next holder knows of more requests than were reported.
+            # The next holder has higher counts than were reported.
             successor = next(iter(site.nodes.values())).state
             for window in site.cloud.windows():
                 successor.usage.windows[window] = {TeamId("alpha"): 99}
@@ -232,7 +232,7 @@
     run_scenario(scenario)
 
 
-def test_reclaim_wave_does_not_cancel_endpoints_that_are_booting():
+def test_reclaim_of_a_domain_does_not_cancel_endpoints_that_are_booting():
     # Reclaimable endpoints are ordered in two domains. Those in the north are still
     # booting when all those in the south are reclaimed. Orders for the north must not
     # drop to the number that serves at that moment, which is zero.
@@ -258,7 +258,7 @@
             await poll_until(lambda: "r2" in rows)
             site.list_runner("r1", STREAMS, state="draining")
             site.list_runner("r2", STREAMS, state="draining", **southern)
-            # Orders for on-demand endpoints show that the reclaim wave was detected.
+            # Orders for on-demand endpoints show that the reclaim was detected.
             await poll_until(lambda: max(desired("south", False), default=0) > 0)
             orders = desired("north", True)
             assert orders == sorted(orders)
@@ -286,7 +286,7 @@
 
 def test_unanswered_append_is_repeated_with_the_same_counts(monkeypatch):
     # The holder decides a window. The store stores the record, but its response is
-    # lost. The holder then learns of more requests in that window. If it sent the newer
+    # lost. The holder then receives higher counts for that window. If it sent the newer
     # counts with the same sequence number, the store would keep the first record and
     # repeat its first response, and the next holder would report different counts.
     async def scenario():
@@ -298,7 +298,7 @@
             append = node.duties._store.append
             lost: list[bytes] = []
 
-            async def lose_one(topic, partition, records, producer=None):
+            async def lose_first_answer(topic, partition, records, producer=None):
                 end = await append(topic, partition, records, producer)
                 if topic == LEDGER_TOPIC and records and not lost:
                     lost.extend(records)
@@ -307,7 +307,7 @@
                     raise PlatformUnavailable("append", None, "answer lost")
                 return end
 
-            monkeypatch.setattr(node.duties._store, "append", lose_one)
+            monkeypatch.setattr(node.duties._store, "append", lose_first_answer)
             await poll_until(lambda: lost)
             window = orjson.loads(lost[0])["window"]
             await poll_until(lambda: max(site.cloud.windows()) > window + 1)
--- a/poplarrelay/entry/tests/test_freshness.py
+++ b/poplarrelay/entry/tests/test_freshness.py
@@ -50,54 +50,54 @@
         # store just before it replies. The list still counts as confirmed when the
         # request was sent, since the node cannot tell the two delays apart.
         lists = network(2)
-        asker, peer = lists.nodes.values()
+        requester, peer = lists.nodes.values()
         lists.now += 2.0
         asked_at = lists.now
-        asker.exchange.tick(asker.now())
+        requester.exchange.tick(requester.now())
         lists.now += 0.7
         peer.read()
         lists.deliver_next(ChangesRequest)
         lists.now += 0.9
         lists.deliver_next(ChangesReply)
-        assert asker.confirmed_at == pytest.approx(asked_at)
+        assert requester.confirmed_at == pytest.approx(asked_at)
 
     def test_reply_of_a_peer_with_an_older_list_confirms_nothing(self):
         lists = network(2)
-        asker, peer = lists.nodes.values()
+        requester, peer = lists.nodes.values()
         lists.now += 2.0
-        asker.exchange.tick(asker.now())
-        asker.read()
-        before = asker.confirmed_at
+        requester.exchange.tick(requester.now())
+        requester.read()
+        before = requester.confirmed_at
         while lists.in_transit:
             lists.deliver()
-        assert asker.confirmed_at == before
+        assert requester.confirmed_at == before
         assert peer.confirmed_at < before
 
     def test_announcement_alone_confirms_nothing(self):
         # The time in flight of an announcement is unknown. Its departures are valid
         # even if they are late, and it shows which peer can be asked.
         lists = network(2)
-        asker, peer = lists.nodes.values()
-        before = asker.confirmed_at
+        requester, peer = lists.nodes.values()
+        before = requester.confirmed_at
         lists.now += 0.5
         lists.write("r1", None)
         peer.read()
         peer.exchange.tick(peer.now())
         lists.now += 3.0
         lists.deliver_next(ListAnnouncement)
-        assert not asker.accepts_work_at("r1")
-        assert asker.confirmed_at == before
+        assert not requester.accepts_work_at("r1")
+        assert requester.confirmed_at == before
         assert [type(envelope.message) for envelope in lists.in_transit] == [
             ChangesRequest
         ]
 
     def test_incomplete_reply_does_not_confirm_the_list(self):
-        # More endpoints were added than fit into a datagram. The asker applies the part
-        # that fits and reads the store before the age of its list requires it.
+        # More endpoints were added than fit into a datagram. The requester applies the
+        # part that fits and reads the store before the age of its list requires it.
         lists = network(2)
-        asker, peer = lists.nodes.values()
-        asker.read()
-        before = asker.confirmed_at
+        requester, peer = lists.nodes.values()
+        requester.read()
+        before = requester.confirmed_at
         for number in range(200):
             lists.write(f"n{number}", endpoint_record())
         lists.now += 0.5
@@ -105,39 +105,39 @@
         peer.exchange.tick(peer.now())
         while lists.in_transit:
             lists.deliver()
-        assert asker.confirmed_at == before
-        assert 2 < asker.state.freshness.known_offset < lists.topic.end
-        assert asker.state.freshness.due_in_s(asker.now()) <= 0
+        assert requester.confirmed_at == before
+        assert 2 < requester.state.freshness.known_offset < lists.topic.end
+        assert requester.state.freshness.due_in_s(requester.now()) <= 0
         lists.now += 0.1
-        asker.read()
-        assert asker.accepts_work_at("n199")
+        requester.read()
+        assert requester.accepts_work_at("n199")
 
     def test_reply_to_a_request_from_before_a_freeze_confirms_nothing(self):
         # The process and its clock are frozen while a reply waits in the socket, so the
         # reply seems to have arrived immediately.
         lists = network(2)
-        asker, peer = lists.nodes.values()
+        requester, peer = lists.nodes.values()
         lists.now += 2.0
-        asker.exchange.tick(asker.now())
+        requester.exchange.tick(requester.now())
         peer.read()
         lists.deliver_next(ChangesRequest)
-        asker.state.freshness.invalidate(asker.now() + 0.001)
+        requester.state.freshness.invalidate(requester.now() + 0.001)
         lists.deliver_next(ChangesReply)
-        assert asker.confirmed_at == float("-inf")
+        assert requester.confirmed_at == float("-inf")
 
     def test_lists_that_differ_for_the_same_records_are_read_again(self):
-        # One node missed a removal. It knows the same records as a peer, but has a
-        # different list of endpoints: a full read of the store must follow.
+        # One node missed a removal. It has read the same records as a peer, but has
+        # a different list of endpoints: a full read of the store must follow.
         lists = network(2)
-        asker, peer = lists.nodes.values()
+        requester, peer = lists.nodes.values()
         peer.state.endpoints.drop(EndpointId("r1"))
         lists.write("r2", endpoint_record("draining"))
         lists.now += 2.0
         peer.read()
-        asker.exchange.tick(asker.now())
+        requester.exchange.tick(requester.now())
         while lists.in_transit:
             lists.deliver()
-        assert asker.full_reads_requested == 1
+        assert requester.full_reads_requested == 1
 
 
 def test_store_is_read_immediately_after_a_freeze():
@@ -159,7 +159,7 @@
 
 @given(st.integers(100, 60_000))
 def test_reads_end_before_the_bound_with_one_answer_missing(bound_ms):
-    # The longest case must fit into the bound of the settings: a list that no peer
+    # The worst case must fit into the bound of the settings: a list that no peer
     # confirms, a read that times out, the pause, the second read and the time for
     # sending a request.
     times = ListTimes.from_config(BoundSettings(leaving_endpoint_ms=bound_ms))
@@ -167,7 +167,7 @@
     assert longest_s <= times.max_list_age_s < times.bound_s == bound_ms / 1000
 
 
-def test_confirmations_in_a_circle_do_not_keep_a_list_fresh():
+def test_circular_confirmations_do_not_keep_a_list_recent():
     # Three nodes confirm their lists to each other in a circle. Each datagram takes
     # 60 ms. No node reads the store again. After two seconds all three lists must
     # count as old, or an endpoint that has left would get requests.
@@ -243,7 +243,7 @@
 
 def test_leaving_endpoint_is_known_everywhere_in_time_with_few_reads():
     # Eight nodes confirm each other's lists, so few of them read the store. When an
-    # endpoint leaves, all eight must still learn of it.
+    # endpoint leaves, all eight must still receive the change in time.
     async def scenario():
         async with run_entry_site(nodes=8) as site:
             await site.add_runner("r1", CALLS)
@@ -267,10 +267,11 @@
     run_scenario(scenario)
 
 
-def test_complete_list_is_requested_only_if_the_own_list_is_old():
-    # Sixty nodes learn at the same time that one node has read a newer list. Sixty
-    # replies with all endpoints would keep its slow link busy for seconds. A node whose
-    # list is young requests no complete list; a node whose list is old asks any peer.
+def test_complete_list_is_requested_only_by_nodes_with_an_old_list():
+    # Sixty nodes receive one node's announcement of a newer list at the same time.
+    # Sixty replies with all endpoints would keep its slow link busy for seconds. A node
+    # whose list is young requests no complete list; a node whose list is old asks any
+    # peer.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             for name in site.nodes:
--- a/poplarrelay/entry/tests/test_limited_endpoints.py
+++ b/poplarrelay/entry/tests/test_limited_endpoints.py
@@ -22,8 +22,8 @@
 )
 from poplarrelay.testing.permits import max_in_window, max_requests_in_window
 
-#: Seconds after which all nodes must keep to a newly stated limit.
-KNOWN_S = 3.0
+#: Seconds after which all nodes must stay within a newly stated limit.
+LIMIT_APPLIED_S = 3.0
 
 
 async def send_calls(
@@ -71,11 +71,11 @@
             start = monotonic()
             statuses = await send_calls(site, path, per_s=50, for_s=8.0)
             times = [request.at for request in runners[0].received]
-            assert max_in_window(times, start + KNOWN_S) <= max_requests_in_window(
-                limit
-            )
+            assert max_in_window(
+                times, start + LIMIT_APPLIED_S
+            ) <= max_requests_in_window(limit)
             # The limit is used, and the other endpoints serve the remaining requests.
-            assert any(at >= start + KNOWN_S for at in times)
+            assert any(at >= start + LIMIT_APPLIED_S for at in times)
             assert statuses.count(200) == len(statuses)
 
     run_scenario(scenario)
@@ -101,7 +101,9 @@
             assert len(refused) < len(answers)
             for runner in runners:
                 at = [request.at for request in runner.received]
-                assert max_in_window(at, start + KNOWN_S) <= max_requests_in_window(2.0)
+                assert max_in_window(
+                    at, start + LIMIT_APPLIED_S
+                ) <= max_requests_in_window(2.0)
 
     run_scenario(scenario)
 
@@ -152,7 +154,7 @@
     run_scenario(scenario)
 
 
-def test_resumed_streams_keep_to_the_limit():
+def test_resumed_streams_stay_within_the_limit():
     # Guards against resumed streams that are sent without a permit.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
@@ -162,13 +164,15 @@
             start = monotonic()
             await send_calls(site, "/draft/x", per_s=30, for_s=8.0)
             times = [request.at for request in runners[0].received]
-            assert max_in_window(times, start + KNOWN_S) <= max_requests_in_window(1.0)
+            assert max_in_window(
+                times, start + LIMIT_APPLIED_S
+            ) <= max_requests_in_window(1.0)
 
     run_scenario(scenario)
 
 
 @pytest.mark.processes
-def test_node_processes_keep_to_a_limit_while_one_is_restarted(tmp_path):
+def test_node_processes_stay_within_a_limit_while_one_is_restarted(tmp_path):
     # Guards against requests beyond the limit when a node is killed and rejoins.
     async def scenario():
         async with run_entry_site(nodes=0) as site:
@@ -180,7 +184,9 @@
             await site.kill_and_restart_process("b")
             await sending
             times = [request.at for request in runners[0].received]
-            assert max_in_window(times, start + KNOWN_S) <= max_requests_in_window(2.0)
-            assert any(at > start + 2 * KNOWN_S for at in times)
+            assert max_in_window(
+                times, start + LIMIT_APPLIED_S
+            ) <= max_requests_in_window(2.0)
+            assert any(at > start + 2 * LIMIT_APPLIED_S for at in times)
 
     run_scenario(scenario)
--- a/poplarrelay/entry/tests/test_lists.py
+++ b/poplarrelay/entry/tests/test_lists.py
@@ -91,8 +91,8 @@
 
 def test_peer_corrects_removal_mistaken_for_outage_lapse():
     # Only one node gets no replies from the store, and a record is removed meanwhile.
-    # The node takes this for an outage and keeps the endpoint. A peer that read the
-    # removal while the store was available must correct it at once.
+    # The node mistakes this for an outage and keeps the endpoint. A peer that read the
+    # removal while the store was available must correct it immediately.
     lists = network()
     mine, peer = lists.nodes.values()
     lists.write("r1", None)
--- a/poplarrelay/entry/tests/test_nodes.py
+++ b/poplarrelay/entry/tests/test_nodes.py
@@ -21,7 +21,7 @@
 
 def test_resolve_lists_serving_nodes():
     # Guards against callers that get the address of a dead node, or miss a new one. A
-    # killed node sends nothing; the others name it until its row is too old.
+    # killed node sends nothing; the others return its address until its row is too old.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await site.ready("a")
@@ -112,7 +112,7 @@
 
 def test_node_does_not_count_peers_dead_after_freeze():
     # After a freeze of a minute all rows in the node's table are old. Guards against a
-    # node that names only itself, which would send all callers to one node.
+    # node that returns only its own address, which would send all callers to one node.
     async def scenario():
         async with run_entry_site(nodes=3) as site:
             await site.ready("a")
@@ -121,7 +121,7 @@
             node = site.nodes["a"]
             for seen in node.state.peers.seen.values():
                 seen.last_seen_at -= 60
-            # Check at once: later gossip would hide the effect of the freeze.
+            # Check immediately: later gossip would hide the effect of the freeze.
             table = node.state.peers
             assert len(choose_addresses(table, 1, monotonic(), Random(1))) == 1
             node.resume_after_freeze(60.0)
--- a/poplarrelay/entry/tests/test_permits.py
+++ b/poplarrelay/entry/tests/test_permits.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("nodes", [1, 3, 9, 61, 195])
 @pytest.mark.parametrize("limit", [1.0, 12.5])
-def test_all_nodes_together_keep_to_a_limit_and_use_it(nodes, limit):
+def test_all_nodes_together_stay_within_a_limit_and_use_it(nodes, limit):
     # Guards against a burst of one request per node, and against shares of the limit
     # that are too small to use.
     network = PermitNetwork.create(nodes, loss=0.025)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("nodes", [9, 61])
-def test_partitioned_groups_keep_to_the_limit_together(nodes):
+def test_partitioned_groups_stay_within_the_limit_together(nodes):
     network = PermitNetwork.create(nodes)
     network.state_limit("host-0", 5.0)
     for _ in network.run(6.0):
@@ -165,7 +165,7 @@
 def test_node_without_permit_support_accepts_the_messages(caplog):
     # Guards against messages that nodes of a previous version, without permits, cannot
     # read.
-    network = make_network(2, settle_s=2.0)
+    network = make_network(2, warm_up_s=2.0)
     one, other = network.alive
     network.nodes[one].send_permits([other], [["ask", "e", None, 1.0]])
     network.step()
@@ -176,7 +176,7 @@
     "message", [["limit", "e"], ["ask", "e", None, "x"], ["what"], [], ["permit", 1, 2]]
 )
 def test_malformed_messages_are_ignored(message, caplog):
-    network = make_network(2, settle_s=2.0)
+    network = make_network(2, warm_up_s=2.0)
     one, other = network.alive
     permits = PermitNetwork.create(2)
     network.nodes[other].attach_permits(permits.brokers["host-0"])
--- a/poplarrelay/entry/tests/test_places.py
+++ b/poplarrelay/entry/tests/test_places.py
@@ -121,7 +121,7 @@
     asyncio.run(scenario())
 
 
-def test_endpoint_without_a_limit_is_used_beside_one_at_its_limit():
+def test_endpoint_without_a_limit_is_used_if_another_is_at_its_limit():
     # Guards against refusals while another endpoint has free slots.
     async def scenario():
         slot_allocator, _, _ = make_slot_allocator([2.0, None])
--- a/poplarrelay/entry/tests/test_runs.py
+++ b/poplarrelay/entry/tests/test_runs.py
@@ -111,8 +111,8 @@
 
 def test_restarted_endpoint_gets_one_request_for_previous_run():
     # An endpoint restarts at its address under another id, and the list still shows the
-    # previous run. It refuses requests for that run at once, so it seems idle. Guards
-    # against all callers being sent there until the next read of the list.
+    # previous run. It refuses requests for that run immediately, so it seems idle.
+    # Guards against all callers being sent there until the next read of the list.
     async def scenario():
         async with run_entry_site() as site:
             runners = [await site.add_runner(f"r{i}", CALLS) for i in (1, 2)]
--- a/poplarrelay/entry/tests/test_sizing.py
+++ b/poplarrelay/entry/tests/test_sizing.py
@@ -224,8 +224,8 @@
 
 
 def test_released_endpoints_do_not_count_as_reclaimed():
-    # Released endpoints leave like reclaimed ones. Guards against taking a lowered
-    # count for a reclaim, which takes all reclaimable endpoints of a domain.
+    # Released endpoints leave like reclaimed ones. Guards against mistaking a
+    # lowered count for a reclaim, which takes all reclaimable endpoints of a domain.
     lowered = make_rows("aabbc", "", "ab")
     ordered = {DomainId("a"): 2, DomainId("b"): 2, DomainId("c"): 1}
     assert reclaimed_domains(lowered, ordered) == set()
@@ -234,15 +234,15 @@
     assert reclaimed_domains(make_rows("aab", "", "cc"), {DomainId("c"): None}) == {"c"}
 
 
-def test_no_on_demand_endpoint_is_added_while_reclaimable_ones_can_be_had():
+def test_no_on_demand_endpoint_is_added_while_reclaimable_ones_are_available():
     plan = plan_endpoints(make_sizing_input(make_rows("a"), 6.0))
     assert totals(plan)[1] == 0
 
 
 def test_demand_orders_endpoints_before_requests_accumulate():
-    # Callers start to ask for 1.4 million tokens per second. Sized by the requests in
-    # flight, sixteen engines had the load of three dozen for 7 s, until more were
-    # ordered and booted; first events took over a second.
+    # Callers start to ask for 1.4 million tokens per second. When endpoints were
+    # sized by the requests in flight, for 7 s sixteen engines served a load that needs
+    # three dozen, until more were ordered and booted; first events took over a second.
     limits = ScalingLimits(1, 46, 4.0, 0.18, DOMAINS)
     needed = count_needed(1_400_000.0, 60_000.0)
     early = SizingInput(limits, make_rows("abc"), needed, needed)
--- a/poplarrelay/entry/tests/test_store_troubles.py
+++ b/poplarrelay/entry/tests/test_store_troubles.py
@@ -28,8 +28,8 @@
 
 
 def test_node_without_configuration_is_not_ready():
-    # The store is unavailable when the node starts. Guards against a node that counts
-    # as ready, or answers that a route does not exist instead of 503.
+    # The store is unavailable when the node starts. The node must not be ready, and
+    # must answer 503 instead of reporting that the route does not exist.
     async def scenario():
         async with run_entry_site() as site:
             await site.ready()
@@ -45,8 +45,8 @@
 
 
 def test_configuration_applies_at_once_and_never_reverts():
-    # Guards against a node that uses the old routes after a change, or returns to an
-    # older version that is written later.
+    # After a change the node must use the new routes, and must ignore an older version
+    # that is written later.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             await site.add_runner("r1", CALLS)
@@ -66,8 +66,8 @@
 
 @pytest.mark.parametrize("outage", [Outage.SILENT, Outage.BUSY, Outage.RESET])
 def test_node_without_store_learns_from_peers(outage):
-    # The store refuses node b and serves node a. Operators remove a key, and an
-    # endpoint leaves. Guards against a node b that does not get both from node a.
+    # The store is unavailable to node b only. Node b must learn from node a that a key
+    # was removed and that an endpoint is leaving.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             for runner in ("r1", "r2"):
@@ -94,9 +94,9 @@
 
 
 def test_configuration_change_alone_reaches_node_without_store():
-    # The store refuses node b permanently. The endpoints do not change, so gossip of
-    # node a confirms the list of b, and b has no reason to read it from a. Operators
-    # remove a key; guards against a node b that misses the newer configuration.
+    # The store stays unavailable to node b, and the endpoints do not change. Gossip
+    # from node a confirms b's endpoint list, so b does not fetch that list from a. It
+    # must still get the new configuration, in which a key is removed.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
             await site.add_runner("r1", CALLS)
@@ -132,8 +132,8 @@
 
 
 def test_configuration_comes_from_peer_if_one_topic_is_silent():
-    # Node b gets no replies for the operators' topic only, so its list of endpoints is
-    # recent. It must read the configuration from its peer because the version in the
+    # Only reads of the operators' topic get no reply at node b; its endpoint list stays
+    # current. It must read the configuration from its peer because the version in the
     # peer's row is newer.
     async def scenario():
         async with run_entry_site(nodes=2) as site:
@@ -162,8 +162,8 @@
 
 
 def test_newest_records_are_read_after_history_is_dropped():
-    # The store drops all records but the newest of each key. Guards against a node that
-    # misses a change and the removal of an endpoint in the dropped records.
+    # The store drops all records but the newest of each key. The node must still apply
+    # a change and the removal of an endpoint that were in the dropped records.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
@@ -183,9 +183,9 @@
 
 
 def test_records_lapsed_in_outage_are_kept_for_grace_time():
-    # The records of both endpoints lapse in an outage of the store; only one is written
-    # again after it. Guards against refusals although the first one serves throughout,
-    # and against a second one that stays in use after the grace time.
+    # Both records expire during a store outage, and only the first is written again.
+    # The first endpoint must serve throughout; the second must be removed after the
+    # grace time.
     async def scenario():
         async with run_entry_site() as site:
             await site.add_runner("r1", CALLS)
--- a/poplarrelay/entry/tests/test_streams.py
+++ b/poplarrelay/entry/tests/test_streams.py
@@ -14,6 +14,9 @@
     run_scenario,
 )
 
+# In the site's configuration, streams of the route /draft/ can resume at another
+# endpoint. Those of the route /brief/ cannot, and are sent to one endpoint only.
+
 
 def test_events_are_passed_on_as_they_arrive():
     async def scenario():
@@ -32,7 +35,7 @@
     run_scenario(scenario)
 
 
-def test_stream_continues_elsewhere_after_its_last_complete_event():
+def test_stream_continues_at_another_endpoint_after_its_last_complete_event():
     # The first endpoint stops in the middle of event 3. The caller gets one stream with
     # every event once and in order, and with the first endpoint's signature.
     async def scenario():
@@ -134,6 +137,7 @@
             runners = [await site.add_runner(f"r{i}", STREAMS) for i in (1, 2, 3)]
             await site.ready(endpoints=3)
             for number in range(20):
+                # Each entry is hash:tokens of a prompt part; only the last differs.
                 answer = await site.call(
                     "/draft/x",
                     X_Poplarrelay_Prefix_Hash=f"aa:500,bb:4000,{number:x}1:90",
--- a/poplarrelay/standins/base.py
+++ b/poplarrelay/standins/base.py
@@ -71,7 +71,7 @@
 
     @cherrypy.expose
     def exit(self) -> None:
-        """End the process at once, as the reclaim of its host does."""
+        """End the process immediately, as the reclaim of its host does."""
         os._exit(EXIT_RECLAIMED)
 
     @cherrypy.expose
--- a/poplarrelay/systems/tests/test_copying.py
+++ b/poplarrelay/systems/tests/test_copying.py
@@ -285,7 +285,7 @@
     system.run_rounds(10)
     assert system.look_up("n2", deferral) == "answered"
     system.thaw("n1")
-    system.introduce_all()
+    system.exchange_all_gossip()
     system.tick_all()
     _perform(system, StoreCopy)
     assert system.look_up("n1", deferral) == "answered"
@@ -304,7 +304,7 @@
     system.now += 4.0
     system.tick_all()
     _perform(system, SendHandover)
-    system.introduce_all()
+    system.exchange_all_gossip()
     system.tick_all()
     for name in ("n2", "n3"):
         assert system.look_up(name, deferral) == "unknown"
@@ -327,7 +327,7 @@
     system.declare_dead(holder)
     system.tick_all()
     system.thaw(holder)
-    system.introduce_all()
+    system.exchange_all_gossip()
     system.now += COPY_RETRY_S
     system.tick_all()
     sent = [a for a in system.actions if isinstance(a.effect, StoreCopy)]
--- a/poplarrelay/systems/tests/test_deferred_machine.py
+++ b/poplarrelay/systems/tests/test_deferred_machine.py
@@ -67,7 +67,7 @@
     def thaw(self):
         for name in self._frozen:
             self.system.thaw(name)
-        self.system.introduce_all()
+        self.system.exchange_all_gossip()
         self.system.tick_all()
 
     @precondition(lambda self: self.crashed is None)
@@ -122,7 +122,7 @@
     def teardown(self):
         for name in self._frozen:
             self.system.thaw(name)
-        self.system.introduce_all()
+        self.system.exchange_all_gossip()
         if self.crashed is not None:
             self.system.declare_dead(self.crashed)
         self.system.run_rounds(20)
--- a/poplarrelay/systems/tests/test_safeguards.py
+++ b/poplarrelay/systems/tests/test_safeguards.py
@@ -97,7 +97,7 @@
     system.perform_all(RunAttempt)
     system.crash("n1")
     system.start("n1")
-    system.introduce_all()
+    system.exchange_all_gossip()
     system.read_log("n1")
     system.tick("n1")
     again = system.submit("n1", "seat")
@@ -237,7 +237,7 @@
     system.log.up = False
     system.crash("n1")
     system.start("n1")
-    system.introduce_all()
+    system.exchange_all_gossip()
     for name in system.nodes:
         system.read_log(name)
     system.tick_all()
@@ -355,7 +355,7 @@
     system.perform_all(RunAttempt)
     system.crash("n1")
     system.start("n1")
-    system.introduce_all()
+    system.exchange_all_gossip()
     again = system.submit("n1", ticket)
     system.run_rounds()
     assert system.runs[ticket] == 1
@@ -447,7 +447,7 @@
     _leave(system)
     system.perform_all(SendHandover)
     system.tick("n1")
-    system.introduce_all()
+    system.exchange_all_gossip()
     for node in system.nodes.values():
         if node.name != "n1":
             system.gossip(node, system.nodes["n1"])
--- a/poplarrelay/testing/fakes.py
+++ b/poplarrelay/testing/fakes.py
@@ -181,7 +181,7 @@
     ----------
     inbox : list of Message
         Messages for the next tick.
-    unread : list of RequestArrived
+    unprocessed : list of RequestArrived
         Requests that have arrived since the process was paused.
     frozen_at : float or None
         Time at which the process was paused, None while it runs.
@@ -192,7 +192,7 @@
     name: str
     world: World = field(repr=False)
     inbox: list[Message] = field(default_factory=list)
-    unread: list[RequestArrived] = field(default_factory=list)
+    unprocessed: list[RequestArrived] = field(default_factory=list)
     frozen_at: float | None = None
     dead: bool = False
 
@@ -246,7 +246,7 @@
         self._origins: dict[RequestId, tuple[FakeNode, RequestId]] = {}
         for name in names:
             self.start(name)
-        self.introduce_all()
+        self.exchange_all_gossip()
 
     # -- lifecycle of nodes ------------------------------------------------
 
@@ -257,7 +257,7 @@
         world = make_world(name, index, incarnation, self.now)
         self.nodes[name] = FakeNode(name, world)
 
-    def introduce_all(self) -> None:
+    def exchange_all_gossip(self) -> None:
         """Exchange gossip between all running nodes."""
         for receiver in self.nodes.values():
             for sender in self.nodes.values():
@@ -302,9 +302,9 @@
         if node.frozen_at is None:
             return
         frozen_at, node.frozen_at = node.frozen_at, None
-        for arrived in node.unread:
+        for arrived in node.unprocessed:
             node.inbox.append(replace(arrived, received=frozen_at))
-        node.unread.clear()
+        node.unprocessed.clear()
 
     # -- callers -----------------------------------------------------------
 
@@ -404,7 +404,7 @@
 
     @staticmethod
     def _deliver_request(node: FakeNode, arrived: RequestArrived) -> None:
-        (node.unread if node.frozen else node.inbox).append(arrived)
+        (node.unprocessed if node.frozen else node.inbox).append(arrived)
 
     # -- time --------------------------------------------------------------
 
--- a/poplarrelay/testing/links.py
+++ b/poplarrelay/testing/links.py
@@ -69,7 +69,7 @@
         return f"{host}:{port}"
 
     def set_state(self, state: LinkState) -> None:
-        """Change the state; open connections follow it too."""
+        """Change the state; it also applies to open connections."""
         self._state = state
 
     def reset(self) -> None:
@@ -122,10 +122,10 @@
                     content = source.recv(_READ_BYTES)
                     if not content:
                         return
-                    if not self._drops(response=source is target):
+                    if not self._delay_or_drop(response=source is target):
                         key.data.sendall(content)
 
-    def _drops(self, response: bool) -> bool:
+    def _delay_or_drop(self, response: bool) -> bool:
         """Wait if the link is delayed, and return whether to drop the data read."""
         if self._state is LinkState.DELAYED:
             time.sleep(DELAY_S)
--- a/poplarrelay/testing/rows.py
+++ b/poplarrelay/testing/rows.py
@@ -47,10 +47,10 @@
 
 
 def make_network(
-    count: int, loss: float = 0.0, settle_s: float = 0.0, seed: int = 1
+    count: int, loss: float = 0.0, warm_up_s: float = 0.0, seed: int = 1
 ) -> Network:
     """Return a network that starts with three known seeds and runs for some seconds."""
     network = Network.create(count, loss, seed)
-    for _ in network.run(settle_s):
+    for _ in network.run(warm_up_s):
         pass
     return network
--- a/poplarrelay/testing/soak/plan.py
+++ b/poplarrelay/testing/soak/plan.py
@@ -10,20 +10,20 @@
 __all__ = ["FIRST_KINDS", "SECOND_KINDS", "FaultKind", "PlannedFault", "draw_plan"]
 
 #: Mean seconds between the starts of two faults. Faults last longer on average, so
-#: several overlap at most times.
+#: several overlap most of the time.
 MEAN_GAP_S = 0.7
 #: Minimum and maximum duration of a fault, in seconds.
 MIN_DURATION_S, MAX_DURATION_S = 0.3, 3.5
 #: Seconds without faults at the start of a run, so that requests are in flight when
 #: the first fault occurs.
-CALM_START_S = 1.0
+FAULT_FREE_START_S = 1.0
 
 
 class FaultKind(Enum):
     """A kind of fault that the soak causes in the running system.
 
     KILL, STOP, PAUSE, RELOAD
-        The process of a node is killed, terminated, paused, or told to reload its
+        The process of a node is killed, terminated, paused, or signalled to reload its
         settings. A process that ended is started again.
     STORE_LINK, ENDPOINT_LINK
         A link to the store or to an endpoint delays its data, loses it in one or both
@@ -120,7 +120,7 @@
     """
     rng = Random(seed)
     plan = []
-    at_s = CALM_START_S
+    at_s = FAULT_FREE_START_S
     while (at_s := at_s + rng.expovariate(1 / MEAN_GAP_S)) < length_s:
         kind = rng.choice(kinds)
         duration_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
--- a/poplarrelay/testing/soak/tests/test_soak.py
+++ b/poplarrelay/testing/soak/tests/test_soak.py
@@ -25,8 +25,8 @@
 from poplarrelay.testing.soak.run import SoakRun, SoakSize, soak
 
 #: Seeds of the short runs in CI, including those that have found a fault:
-#: 2: a faulty endpoint answered a streaming request with a plain body; the check took
-#: that for a wrong response.
+#: 2: a faulty endpoint answered a streaming request with a plain body; the check
+#: mistook that for a wrong response.
 #: 19: a request waited in the socket of a paused process for 2.3 s and was answered
 #: 4 s after the process read it; the check ignored pauses that had ended.
 #: 33: two faults had started a node twice in another run, which left one process
--- a/poplarrelay/testing/steps.py
+++ b/poplarrelay/testing/steps.py
@@ -41,7 +41,7 @@
 
 
 def busy_endpoint(site: RunningSite) -> str | None:
-    """Return the name of an endpoint that runs an attempt, None if no one does."""
+    """Return the name of an endpoint that runs an attempt, None if there is none."""
     for node in site.nodes:
         status = site.status(node) or {"endpoints": {}}
         for name, endpoint in status["endpoints"].items():
@@ -51,7 +51,7 @@
 
 
 def busy_node(site: RunningSite) -> str | None:
-    """Return the name of a node that runs an attempt, None if no one does."""
+    """Return the name of a node that runs an attempt, None if there is none."""
     for node in site.nodes:
         status = site.status(node) or {"requests": {}}
         if status["requests"].get("dispatched"):
--- a/poplarrelay/testing/templates.py
+++ b/poplarrelay/testing/templates.py
@@ -1,4 +1,4 @@
-"""Fill in a settings template as the users' platform does, for tests."""
+"""Fill in a settings template as the operators' platform does, for tests."""
 
 from __future__ import annotations
 
--- a/poplarrelay/testing/tests/test_at_most_once_on_processes.py
+++ b/poplarrelay/testing/tests/test_at_most_once_on_processes.py
@@ -51,8 +51,8 @@
 
 def test_log_outage_rejects_caller_keys_at_once_and_runs_tickets(site):
     # Without the log a caller key cannot be claimed. All peers report that they have
-    # not run it, so the node rejects the request at once and states when to retry. A
-    # ticket needs no log record.
+    # not run it, so the node rejects the request immediately and states when to retry.
+    # A ticket needs no log record.
     site.faults("log", refuse=True)
     wait_until(lambda: not site.status("node-1")["log_available"], 5.0)
     started = time.monotonic()
@@ -85,7 +85,7 @@
 
 def test_claim_of_crashed_owner_is_unknown_and_not_run_again(site):
     # The node that claimed the key crashes after the service ran the request and before
-    # the node could answer. No other node may run it again or answer that it has not
+    # the node could answer. Other nodes must not run it again or answer that it has not
     # run.
     site.faults("desk-1", slow_s=2.0)
     failures = []
--- a/poplarrelay/testing/tests/test_configuration.py
+++ b/poplarrelay/testing/tests/test_configuration.py
@@ -1,4 +1,7 @@
-"""Tests that an accepted configuration comes into force at all real node processes."""
+"""Tests that an accepted configuration comes into force at all nodes.
+
+The nodes run as real processes.
+"""
 
 import threading
 import time
@@ -41,7 +44,7 @@
     return answer if answer["status"] == "accepted" else None
 
 
-def offsets(site):
+def offsets_in_force(site):
     return [
         (site.status(node) or {"in_force": {}})["in_force"].get(SUBJECT)
         for node in site.nodes
@@ -53,8 +56,8 @@
     return bool(status and status["log_available"])
 
 
-def wait_everywhere(site, offset, timeout_s=4.0):
-    wait_until(lambda: set(offsets(site)) == {offset}, timeout_s, "in force")
+def wait_until_in_force(site, offset, timeout_s=4.0):
+    wait_until(lambda: set(offsets_in_force(site)) == {offset}, timeout_s, "in force")
 
 
 def in_force(site, node):
@@ -65,7 +68,7 @@
 def test_accepted_change_is_in_force_at_all_nodes_within_seconds(site):
     answer = change(site, "node-1", 7)
     assert answer["status"] == "accepted"
-    wait_everywhere(site, answer["offset"])
+    wait_until_in_force(site, answer["offset"])
     assert {in_force(site, node)["priority"] for node in site.nodes} == {7}
 
 
@@ -73,7 +76,7 @@
     # Three operators read the same state and change it through three nodes
     # concurrently. One change is accepted at all nodes; the other operators get the
     # offset of that change.
-    current_offset = offsets(site)[0]
+    current_offset = offsets_in_force(site)[0]
     answers = []
 
     def send_change(node, priority):
@@ -92,7 +95,7 @@
     assert len(accepted) == 1
     assert len(rejected) == 2
     assert {a["winner"] for a in rejected} == {accepted[0]["offset"]}
-    wait_everywhere(site, accepted[0]["offset"])
+    wait_until_in_force(site, accepted[0]["offset"])
 
 
 def test_lost_append_reply_does_not_repeat_or_undo_a_change(site):
@@ -101,7 +104,7 @@
     assert first["status"] == "accepted"
     second = change(site, "node-2", 22)
     assert second["status"] == "accepted"
-    wait_everywhere(site, second["offset"])
+    wait_until_in_force(site, second["offset"])
     time.sleep(2.0)
     assert {in_force(site, node)["priority"] for node in site.nodes} == {22}
 
@@ -115,8 +118,8 @@
     narrowed = template_body(failure_domains=["east"], models=[])
     site.publish("node-1", SUBJECT, deployment_body("beta", models=["small"]))
     assert site.publish("node-1", "template/base", narrowed)["status"] == 422
-    kinds = site.get(site.platform["log"], "/statistics")["records"]["configuration"]
-    assert kinds >= before
+    after = site.get(site.platform["log"], "/statistics")["records"]["configuration"]
+    assert after >= before
 
 
 def test_old_record_appended_again_changes_nothing(site):
@@ -129,7 +132,7 @@
     )
     third = change(site, "node-2", 33)
     assert third["status"] == "accepted"
-    wait_everywhere(site, third["offset"])
+    wait_until_in_force(site, third["offset"])
     assert second["offset"] < third["offset"]
 
 
@@ -144,7 +147,7 @@
 
 def test_node_that_starts_in_log_outage_gets_configuration_from_peers(site):
     accepted = change(site, "node-1", 51)
-    wait_everywhere(site, accepted["offset"])
+    wait_until_in_force(site, accepted["offset"])
     site.faults("log", refuse=True)
     site.nodes["node-3"].kill()
     site.start_node("node-3")
@@ -189,7 +192,7 @@
         running.faults("log")
         wait_until(lambda: log_available(running, "node-1"))
         again = wait_until(lambda: accepted_change(running, 62), 20.0)
-        wait_everywhere(running, again["offset"], 10.0)
+        wait_until_in_force(running, again["offset"], 10.0)
 
 
 def _restart_behind_link(running, node):
@@ -203,21 +206,22 @@
 
 
 def test_node_partitioned_from_log_gets_changes_from_its_peers(site):
-    # Only this node is partitioned from the log. It must get a change that its peers
-    # accept from them, and stay ready.
+    # Only this node is partitioned from the log. It must receive from its peers a
+    # change that they accepted, and stay ready.
     link = _restart_behind_link(site, "node-3")
     link.set_state(LinkState.CUT)
     wait_until(lambda: not log_available(site, "node-3"))
     accepted = change(site, "node-1", 71)
-    wait_everywhere(site, accepted["offset"])
+    wait_until_in_force(site, accepted["offset"])
     assert site.ready("node-3")
     link.set_state(LinkState.INTACT)
     link.stop()
 
 
 def test_node_that_gets_no_log_replies_does_not_accept_a_change(site):
-    # The log gets the appends of the node, but its replies are lost. A change sent
-    # through this node can come into force, and the node must not answer "accepted".
+    # The log gets the appends of the node, but its replies are lost. The change may
+    # still come into force, but the node must not answer "accepted", because it does
+    # not know that.
     link = _restart_behind_link(site, "node-3")
     link.set_state(LinkState.ONE_WAY)
     wait_until(lambda: not log_available(site, "node-3"))
@@ -226,7 +230,7 @@
     link.set_state(LinkState.INTACT)
     wait_until(lambda: log_available(site, "node-3"))
     accepted = change(site, "node-1", 82)
-    wait_everywhere(site, accepted["offset"])
+    wait_until_in_force(site, accepted["offset"])
     link.stop()
 
 
--- a/poplarrelay/testing/tests/test_membership.py
+++ b/poplarrelay/testing/tests/test_membership.py
@@ -30,6 +30,8 @@
 
 
 def nodes_in_replies(site, node):
+    # A reply lists at most four nodes, in random order and of different failure domains
+    # if possible.
     return set().union(*(listed_nodes(site, node) for _ in range(15)))
 
 
@@ -49,12 +51,12 @@
     wait_until(lambda: domains() == {"east", "west", "north", "south"}, 10.0)
 
 
-@pytest.mark.parametrize("how", ["kill", "freeze"])
-def test_killed_or_frozen_node_is_removed_from_discovery(site, how):
+@pytest.mark.parametrize("failure", ["kill", "freeze"])
+def test_killed_or_frozen_node_is_removed_from_discovery(site, failure):
     # A killed node refuses connections; a paused node accepts them and does not reply.
-    getattr(site.nodes["node-5"], how)()
+    getattr(site.nodes["node-5"], failure)()
     wait_until(lambda: "node-5" not in nodes_in_replies(site, "node-1"), 5.0)
-    if how == "freeze":
+    if failure == "freeze":
         site.nodes["node-5"].thaw()
         wait_until(lambda: "node-5" in nodes_in_replies(site, "node-1"), 10.0)
 
@@ -72,7 +74,7 @@
     assert site.nodes["node-5"].popen.wait(timeout=20.0) == 0
 
 
-def test_a_restarted_node_comes_back_as_a_new_incarnation(site):
+def test_a_restarted_node_has_a_new_incarnation(site):
     before = site.status("node-5")["incarnation"]
     site.nodes["node-5"].kill()
     site.start_node("node-5")
@@ -82,6 +84,7 @@
 
 
 def test_other_nodes_serve_after_loss_of_a_failure_domain(site):
+    # These two nodes are in one failure domain, the other nodes in one domain each.
     for node in ("node-1", "node-5"):
         site.nodes.pop(node).kill()
     wait_until(lambda: not {"node-1", "node-5"} & nodes_in_replies(site, "node-2"), 8.0)
