--- a/poplarrelay/engines/__init__.py
+++ b/poplarrelay/engines/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP clients of model engines and plain services."""
+"""Clients of the back ends: model engines and plain services."""
--- a/poplarrelay/messages/__init__.py
+++ b/poplarrelay/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages: log records, inputs of the systems and effects that they issue."""
+"""Typed messages: records of the log, what systems take in and what they order."""
--- a/poplarrelay/node/__init__.py
+++ b/poplarrelay/node/__init__.py
@@ -1,1 +1,1 @@
-"""The process of a node: listeners, the tick thread and the I/O threads."""
+"""The node's process: listeners, tick thread, and the threads that do I/O."""
--- a/poplarrelay/providers/__init__.py
+++ b/poplarrelay/providers/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform's services: log service, host list and cloud API."""
+"""What the platform gives: log service, host list, cloud API."""
--- a/poplarrelay/replay/__init__.py
+++ b/poplarrelay/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay recorded traces against running nodes and check their stated targets."""
+"""Replay recorded traces against running nodes and judge stated outcomes."""
--- a/poplarrelay/web/__init__.py
+++ b/poplarrelay/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP listeners and responses, built on CherryPy and its server."""
+"""Listeners and answers over HTTP, by CherryPy and its server."""
